--- a/packages/pepperstair-core/pepperstair_core/calls/__init__.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions about calls: choice of a target, admission, retries, kept answers."""
+"""Call decisions: target choice, admission, retries, and retained answers."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-core/pepperstair_core/calls/admission.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/admission.py
@@ -1,7 +1,7 @@
-"""Which calls a target runs now, which wait, and which are refused.
+"""Admission control of one target: run, queue or refuse each call.
 
-The daemon beside the target is the only one that sends it work, so that its
-slots are exact and a refusal proves that the call did not run.
+Only the daemon beside a target sends it work, so the slot count is exact and a
+refusal proves that the call did not run.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 
 RETRY_AFTER_MIN_MS: Final = 10
 RETRY_AFTER_MAX_MS: Final = 5_000
-# Ageing: one grant in so many goes to a less urgent call that has waited for
-# longer than its bound. A bounded share, as under overload every deferrable
-# call is old, and letting all of them pass first would turn priorities over.
+# Ageing: one in `AGED_GRANT_INTERVAL` grants goes to a less urgent call that has
+# waited for `AGED_AFTER_MS` or longer. The share is bounded because under overload
+# every deferrable call is old, and running all of them first would invert priorities.
 AGED_GRANT_INTERVAL: Final = 10
 AGED_AFTER_MS: Final = 500.0
-# Calls that can't be in time any more wait behind those that can, for at most
-# this share of the time they have left: told early, their callers can still go
-# elsewhere, and a third is what they would wait by themselves.
+# Calls that can no longer be answered in time wait behind those that can, for at
+# most this share of the time they had left on arrival. An early refusal leaves their
+# callers time to go elsewhere, and a third is what the callers would wait themselves.
 LATE_WAIT_SHARE: Final = 1 / 3
-# An overload ends when no call was refused for so long.
+# An overload is over when no call has been refused for this time.
 OVERLOAD_GAP_MS: Final = 1_000.0
-# For how long a less urgent call shows that there are such calls.
+# How long after its arrival a call shows that calls of its priority are in use.
 LESS_URGENT_SEEN_MS: Final = 1_000.0
 
 
@@ -52,7 +52,7 @@
 
 
 class Refused(Struct, frozen=True):
-    """The call does not run and gets its answer at once."""
+    """The call does not run and is answered at once."""
 
     ticket: int
     cause: RefusalCause
@@ -63,10 +63,10 @@
 
 
 class Admission:
-    """The slots of one target and the calls that wait for them.
+    """The slots of one target and the queue of calls that wait for them.
 
-    Every method returns the verdicts that follow, which may concern other
-    calls than the one it was called for. Times are in milliseconds.
+    Methods return the verdicts that result, which may concern calls other than the
+    one passed in. Times are in milliseconds.
 
     >>> admission = Admission(n_slots=1)
     >>> call = WaitingCall(7, "lantern", "urgent", 0, 2000, 8)
@@ -79,8 +79,8 @@
         self.n_in_flight = 0
         self._times = ServiceTimes()
         self._late: set[int] = set()
-        self._arrived_ms_of = dict.fromkeys(PRIORITIES, -math.inf)
-        self._refused_ms = -math.inf
+        self._last_arrived_ms_of = dict.fromkeys(PRIORITIES, -math.inf)
+        self._last_refused_ms = -math.inf
         self._overloaded_since_ms = 0.0
         self._queues = {priority: FairQueue() for priority in PRIORITIES}
         self._waiting: dict[int, WaitingCall] = {}
@@ -89,24 +89,24 @@
 
     @property
     def n_queued(self) -> int:
-        """Return how many calls wait."""
+        """Return the number of waiting calls."""
         return len(self._waiting)
 
     @property
     def next_expiry_ms(self) -> float | None:
-        """Return when `expire` should be called, or None with nothing waiting."""
+        """Return when `expire` is next due, or None if no call waits."""
         latest = self._latest_starts
         while latest and latest[0][1] not in self._waiting:
             heapq.heappop(latest)
         return latest[0][0] if latest else None
 
     def arrive(self, call: WaitingCall, now_ms: float) -> list[Verdict]:
-        """Take a new call: run it, let it wait, or refuse it or another."""
-        self._arrived_ms_of[call.priority] = now_ms
+        """Admit or queue a new call, or refuse it or the call that it displaces."""
+        self._last_arrived_ms_of[call.priority] = now_ms
         if self.n_in_flight < self.n_slots and not self._waiting:
             self.n_in_flight += 1
             return [Admitted(call.ticket)]
-        cause = self._cause_to_refuse(call, now_ms)
+        cause = self._refusal_cause(call, now_ms)
         if cause is not None:
             return [self._refuse(call, cause, now_ms)]
         if len(self._waiting) < call.n_queued_max:
@@ -122,10 +122,10 @@
         now_ms: float,
         route: str = "",
     ) -> list[Verdict]:
-        """Take the end of a running call and let the next ones in.
+        """Free the slot of a call that ended and admit waiting calls.
 
-        `service_ms` is None where the call says nothing of the target's speed,
-        as when its connection could not be opened.
+        `service_ms` is None if the call is no measure of the target's speed, for
+        example because its connection could not be opened.
         """
         self.n_in_flight -= 1
         if service_ms is not None:
@@ -135,15 +135,15 @@
         return self._grant(now_ms)
 
     def resize(self, n_slots: int, now_ms: float) -> list[Verdict]:
-        """Take a changed number of slots; calls in flight go on."""
+        """Change the number of slots; calls in flight continue."""
         self.n_slots = n_slots
         return self._grant(now_ms)
 
     def expire(self, now_ms: float) -> list[Verdict]:
         """Refuse the calls that can no longer be answered in time.
 
-        They are refused in that instant, not at their deadline: a caller that
-        knows early can still go elsewhere.
+        They are refused as soon as that is certain rather than at their deadline, so
+        that the caller still has time to go elsewhere.
         """
         verdicts: list[Verdict] = []
         while (expiry_ms := self.next_expiry_ms) is not None and expiry_ms <= now_ms:
@@ -157,64 +157,64 @@
         return verdicts
 
     def withdraw(self, ticket: int) -> None:
-        """Forget a waiting call whose caller has left."""
+        """Remove a waiting call whose caller has disconnected."""
         call = self._waiting.get(ticket)
         if call is not None:
             self._remove(call)
             self._late.discard(ticket)
 
     def drain(self) -> list[Verdict]:
-        """Refuse every waiting call, as the target is leaving."""
+        """Refuse every waiting call because the target is draining."""
         calls = list(self._waiting.values())
         for call in calls:
             self._remove(call)
             self._late.discard(call.ticket)
         return [Refused(call.ticket, RefusalCause.DRAINING, 0) for call in calls]
 
-    def _cause_to_refuse(self, call: WaitingCall, now_ms: float) -> RefusalCause | None:
-        """Return why a call should not wait, or None where it should.
+    def _refusal_cause(self, call: WaitingCall, now_ms: float) -> RefusalCause | None:
+        """Return why a call must not be queued, or None if it may wait.
 
-        More calls than slots means that some are refused. Were all let in up to
-        their deadlines, the queue would stand at that length, and every answer
-        would come when it is hardly wanted any more; with the queue held so
-        short that its calls are in time, the same slots serve as many callers,
-        and those at once.
+        Under overload some calls have to be refused. If all were queued up to their
+        deadlines, the queue would stay that long and every answer would arrive when
+        it is hardly wanted any more. With a queue short enough for its calls to be
+        answered in time, the same slots serve as many callers, and without delay.
         """
         is_late = self._is_late(call, now_ms)
         start_ms = self._expected_start_ms(call, now_ms, is_late)
         if start_ms > self._times.latest_start_ms(call):
             return RefusalCause.TOO_LATE
-        if start_ms > self._give_up_ms(call, is_late):
+        if start_ms > self._wait_limit_ms(call, is_late):
             return RefusalCause.NOT_IN_TIME
         return None
 
-    def _waits_till_deadline(self, call: WaitingCall) -> bool:
-        """Return whether a call may wait for longer than its answer is wanted most.
+    def _may_wait_until_deadline(self, call: WaitingCall) -> bool:
+        """Return whether a call may wait past its wanted time, up to its deadline.
 
-        That is so while less urgent calls come, which is how other requests
-        depend on it: the look-up of a page that a service builds is worth as
-        much late as in time, and refused it takes the whole page with it. The
-        slots that it waits for are those of the less urgent calls.
+        It may while less urgent calls arrive, as other requests then depend on it: a
+        look-up for a page that a service builds is worth as much late as in time, and
+        refusing it fails the whole page. The slots that it waits for are those of the
+        less urgent calls.
 
-        It is so as well for a call that takes a fraction of what others take: refused,
-        it frees hardly anything for them, and such a short call is mostly part of
-        another request.
+        It may also if it takes a fraction of the time of other calls: refusing it frees
+        hardly any time for them, and such a short call is mostly part of another
+        request.
         """
         if self._times.is_short(call):
             return True
         place = PRIORITIES.index(call.priority)
         return any(
-            call.arrived_ms - self._arrived_ms_of[less_urgent] < LESS_URGENT_SEEN_MS
+            call.arrived_ms - self._last_arrived_ms_of[less_urgent]
+            < LESS_URGENT_SEEN_MS
             for less_urgent in PRIORITIES[place + 1 :]
         )
 
     def _is_late(self, call: WaitingCall, now_ms: float) -> bool:
-        """Return whether the answer can't come while it is wanted most."""
+        """Return whether the answer can no longer arrive within the wanted time."""
         return self._times.latest_useful_start_ms(call) < now_ms
 
-    def _give_up_ms(self, call: WaitingCall, is_late: bool) -> float:
-        """Return until when a call waits before it is refused."""
-        if call.wanted_ms == math.inf or self._waits_till_deadline(call):
+    def _wait_limit_ms(self, call: WaitingCall, is_late: bool) -> float:
+        """Return the time at which a waiting call is refused."""
+        if call.wanted_ms == math.inf or self._may_wait_until_deadline(call):
             return self._times.latest_start_ms(call)
         if not is_late:
             useful_ms = self._times.latest_useful_start_ms(call)
@@ -224,13 +224,13 @@
         return min(longest_ms, self._times.latest_start_ms(call))
 
     def _may_still_wait(self, call: WaitingCall, now_ms: float) -> bool:
-        """Return whether a call that is late from now on keeps its place.
+        """Return whether a call that has just become late may stay queued.
 
-        With nothing else waiting, its slot is taken from nobody.
+        It may if no other call waits, as it then takes a slot from no other call.
         """
         if call.ticket in self._late or self._waiting:
             return False
-        return self._give_up_ms(call, True) > now_ms
+        return self._wait_limit_ms(call, True) > now_ms
 
     def _arrive_at_full_queue(self, call: WaitingCall, now_ms: float) -> list[Verdict]:
         victim = self._victim(call)
@@ -243,10 +243,10 @@
         return [self._refuse(victim, cause, now_ms)]
 
     def _victim(self, call: WaitingCall) -> WaitingCall | None:
-        """Return the waiting call that a new one displaces, if any.
+        """Return the waiting call that a new call displaces, or None.
 
-        A queue filled by one large customer would else refuse every small one
-        for as long as the flood lasts.
+        Without displacement, a queue filled by one large customer would refuse every
+        small customer for as long as the flood lasts.
         """
         for priority in reversed(PRIORITIES):
             queue = self._queues[priority]
@@ -259,7 +259,7 @@
     def _expected_start_ms(
         self, call: WaitingCall, now_ms: float, is_late: bool
     ) -> float:
-        """Return when the call would run, if it had to wait."""
+        """Return when the call is expected to start if it is queued."""
         order = self._order(call, is_late)
         n_ahead = 0
         for priority in PRIORITIES:
@@ -285,8 +285,8 @@
         self._n_grants += 1
         filled = [queue for queue in self._queues.values() if queue]
         if self._n_grants % AGED_GRANT_INTERVAL == 0 and len(filled) > 1:
-            # Without this share, deferrable calls would never run while more
-            # urgent ones keep all slots busy; an archive would seem to be gone.
+            # Without this share, deferrable calls would never run while more urgent
+            # ones keep all slots busy, and an archive would appear to be down.
             oldest = min((q.oldest() for q in filled[1:]), key=lambda c: c.arrived_ms)
             if now_ms - oldest.arrived_ms >= AGED_AFTER_MS:
                 self._queues[oldest.priority].remove(oldest)
@@ -294,13 +294,13 @@
         return filled[0].pop()
 
     def _order(self, call: WaitingCall, is_late: bool) -> Order:
-        """Return the place of a call: those in time first, by how soon they start.
+        """Return the sort key of a call: calls in time first, by latest start.
 
-        Calls without a wanted time keep the order of their arrival.
+        Calls without a wanted time are ordered by arrival.
         """
         if call.wanted_ms == math.inf:
             return (0, call.arrived_ms)
-        if is_late and not self._waits_till_deadline(call):
+        if is_late and not self._may_wait_until_deadline(call):
             return (1, self._times.latest_start_ms(call))
         return (0, self._times.latest_useful_start_ms(call))
 
@@ -311,7 +311,7 @@
             self._late.add(call.ticket)
         self._waiting[call.ticket] = call
         self._queues[call.priority].push(call, self._order(call, is_late))
-        entry = (self._give_up_ms(call, is_late), call.ticket)
+        entry = (self._wait_limit_ms(call, is_late), call.ticket)
         heapq.heappush(self._latest_starts, entry)
 
     def _remove(self, call: WaitingCall) -> None:
@@ -319,18 +319,17 @@
         self._queues[call.priority].remove(call)
 
     def _refuse(self, call: WaitingCall, cause: RefusalCause, now_ms: float) -> Refused:
-        """Refuse a call, with the time after which another try makes sense.
+        """Return the refusal of a call, with the time after which to retry.
 
-        That is when the queue should have run down, or, where calls have been
-        refused for longer than that, once more as long as they have been: an
-        overload that has lasted for seconds won't be over in a few hundred
-        milliseconds, and a caller who is sent away twice is worse off than one
-        who knows.
+        This is the time in which the queue should drain or, if the overload has
+        lasted longer than that, as long again as it has lasted: an overload of
+        seconds won't end within a few hundred milliseconds, and a caller that is
+        refused twice is worse off than one that is given a realistic time.
         """
         self._late.discard(call.ticket)
-        if now_ms - self._refused_ms > OVERLOAD_GAP_MS:
+        if now_ms - self._last_refused_ms > OVERLOAD_GAP_MS:
             self._overloaded_since_ms = now_ms
-        self._refused_ms = now_ms
+        self._last_refused_ms = now_ms
         n_turns = (len(self._waiting) + 1) / max(1, self.n_slots)
         lasted_ms = now_ms - self._overloaded_since_ms
         retry_after_ms = int(max(n_turns * self._times.mean_ms, lasted_ms))
--- a/packages/pepperstair-core/pepperstair_core/calls/call_ends.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/call_ends.py
@@ -1,4 +1,4 @@
-"""What the choice of targets is told of calls, and what it says of its decisions."""
+"""Inputs of the target choice (how calls ended) and the decisions it reports."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EndKind(Enum):
-    """How a call ended, as far as the choice of targets is concerned."""
+    """How a call ended, in the terms of the target choice."""
 
     GOOD = auto()
     ERROR = auto()
@@ -20,10 +20,10 @@
 
 
 class CallEnd(Struct, frozen=True):
-    """The end of a call that was chosen a target for at `start_ms`.
+    """The end of a call whose target was chosen at `start_ms`.
 
-    `latency_ms` is the time to the head of its answer, without the wait for a
-    slot; `retry_after_ms` is what a refusal asks for, 0 for nothing.
+    `latency_ms` is the time to the head of its answer, without the wait for a slot;
+    `retry_after_ms` is the time that a refusal asks for, or 0.
     """
 
     kind: EndKind
@@ -34,7 +34,7 @@
 
 
 class Ejection(Struct, frozen=True):
-    """A target that was left out, with the figures of the decision."""
+    """An ejected target, with the figures of the decision."""
 
     key: TargetKey
     n_errors: int
--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -1,8 +1,8 @@
-"""Which target a call goes to.
+"""Choice of the target of each call (load balancing).
 
 Two random candidates are compared by expected wait (Mitzenmacher, "The power
-of two choices in randomized load balancing", 2001): over the least loaded of
-all, which every daemon with the same late reports would pick at once.
+of two choices in randomized load balancing", 2001). Choosing the least loaded of
+all would send the calls of every daemon with the same stale reports to one target.
 """
 
 from __future__ import annotations
@@ -21,38 +21,38 @@
     from ..routing import Endpoint
 
 AVOIDED_MS: Final = 1_000
-# A full target says so with its load, which is up to date with each answer.
+# Shorter than `AVOIDED_MS`, as each answer updates the reported load of a full target.
 FULL_AVOIDED_MS: Final = 50
-# How much shorter the wait in another zone must be, in answer times, beside
-# what the bytes of an answer cost on the way: 100 KB count as one answer time.
+# How much shorter the wait in another zone must be, in answer times, on top of the
+# transfer cost of the answer: 100 KB count as one answer time.
 ZONE_MARGIN: Final = 0.25
 ZONE_MARGIN_PER_BYTE: Final = 1e-5
-# With more room than one free slot asks for, a call need not wait at all.
+# Up to this expected wait a target has a free slot and a call need not queue.
 ROOM_WAIT: Final = 1.0
-# How much fuller, in shares of its slots, a target of the own zone must be than one
-# elsewhere that has no free slot either.
+# How much fuller, as a share of its slots, a target of the own zone must be than one
+# of another zone that has no free slot either.
 FULL_ZONE_MARGIN: Final = 1.0
-# A target is quick enough for a route if its mean answer takes this share of the
-# time within which one is wanted; what is left is for those that take longer.
+# A target is quick enough for a route if its mean answer takes at most this share of
+# the objective; the remainder is a margin for slower answers.
 QUICK_SHARE: Final = 0.6
-# The age of a call that may stand in a queue says little of its target.
+# The age of a call that may be queued says little about the speed of its target.
 QUEUED_AGE_WEIGHT: Final = 0.25
 FORGOTTEN_AFTER_MS: Final = 60_000
 N_REMEMBERED_MAX: Final = 2_000
-# A daemon that starts learns of all targets within some seconds: they announce
-# themselves every 1.5 s and reach it through one or two others.
+# A daemon that starts discovers all targets within some seconds: they are announced
+# every 1.5 s and the announcements are relayed by one or two other daemons.
 JOINING_MS: Final = 5_000
-# Some dozens of services have one group each, and a new one when members change.
+# Dozens of services have one group each, and a new one whenever members change.
 N_GROUPS_MAX: Final = 64
 
 
 class TargetChooser:
-    """Chooses targets and learns from how the calls to them ended.
+    """Chooses targets by the outcome of earlier calls to them.
 
-    Times are in milliseconds of one clock that never goes back; `rng` makes
-    every choice repeatable. For `joining_ms` from the first choice on, targets that
-    it learns of are taken for warm. `n_left_zone` counts the calls that went to other
-    zones, by what kept them from the targets of their own.
+    Times are in milliseconds of one monotonic clock; `rng` makes every choice
+    reproducible. For `joining_ms` after the first choice, newly discovered targets
+    are treated as warm. `n_left_zone` counts the calls that were sent to other zones,
+    by the reason why no target of their own zone was used.
     """
 
     def __init__(
@@ -65,9 +65,9 @@
         self._rng = rng
         self._health: dict[TargetKey, TargetHealth] = {}
         self._groups: dict[int, TargetGroup] = {}
-        # Those that may be ejected or to be avoided: few beside all targets.
-        self._set_aside: dict[TargetKey, TargetHealth] = {}
-        self._norms = RouteLatencies()
+        # Targets that are ejected or to be avoided, a small share of all targets.
+        self._restricted: dict[TargetKey, TargetHealth] = {}
+        self._latencies = RouteLatencies()
 
     def choose(
         self,
@@ -82,23 +82,25 @@
         objective_ms: float = 0.0,
         is_room_wanted: bool = False,
     ) -> Endpoint | None:
-        """Return the endpoint for one call, or None where none is left.
-
-        The call counts as in flight on it until `end` is called. Urgent calls
-        hardly wait for a slot, so that the time since their start is the time
-        that the target itself takes; with an `objective_ms` that wait is short, so
-        that a long time tells something too. `n_answer_bytes` is about what the answer
-        will bring across zones; with `is_room_wanted` none but a target with a
-        free slot will do.
+        """Return the endpoint for one call, or None if there is none.
+
+        The call counts as in flight on the endpoint until `end` is called. Urgent
+        calls hardly wait for a slot, so the time since their start is the time that
+        the target takes. With an `objective_ms` the wait for a slot is short, so that
+        a long time since the start is also a sign of a slow target. `n_answer_bytes`
+        is the expected size of the answer, which counts if it crosses zones. With
+        `is_room_wanted` only a target with a free slot is returned.
         """
         group = self._group(endpoints, now_ms)
         if not any(item.key not in excluded for item in endpoints):
             return None
         chosen = self._probe(group, excluded, now_ms)
         if chosen is None:
-            ejected, avoided = self._left_out(group, now_ms)
+            ejected, avoided = self._ejected_and_avoided(group, now_ms)
             candidates = group.candidates((excluded, ejected, avoided))
-            wait_of = make_wait_of(self._health, group.norms(now_ms), load_of, now_ms)
+            wait_of = make_wait_of(
+                self._health, group.statistics(now_ms), load_of, now_ms
+            )
             is_quick = self._make_is_quick(route, objective_ms, now_ms)
             chosen = self._pick(group, candidates, wait_of, is_quick, n_answer_bytes)
             if is_room_wanted and wait_of(chosen) > ROOM_WAIT:
@@ -111,8 +113,8 @@
     def _make_is_quick(
         self, route: str, objective_ms: float, now_ms: float
     ) -> Callable[[Endpoint], bool]:
-        """Return the function that says which targets answer a route in good time."""
-        allowed_ms = QUICK_SHARE * objective_ms * self._norms.scale(route)
+        """Return a predicate for targets that are quick enough for a route."""
+        allowed_ms = QUICK_SHARE * objective_ms * self._latencies.scale(route)
 
         def is_quick(endpoint: Endpoint) -> bool:
             health = self._health[endpoint.key]
@@ -122,24 +124,24 @@
         return is_quick
 
     def _age_weight(self, route: str, is_urgent: bool, is_wait_bounded: bool) -> float:
-        """Return what turns the age of a call into a latency that compares."""
+        """Return the factor that converts the age of a call to a comparable latency."""
         if not is_urgent and not is_wait_bounded:
             return 0.0
-        scale = self._norms.scale(route)
+        scale = self._latencies.scale(route)
         return scale if is_urgent else scale * QUEUED_AGE_WEIGHT
 
     def usual_ms(self, route: str) -> float:
-        """Return how long calls of a route usually take, 0 where none was seen."""
-        return self._norms.usual_ms(route)
+        """Return the typical latency of a route's calls, 0 if none has been seen."""
+        return self._latencies.usual_ms(route)
 
     def forgive(self, vm: str) -> None:
-        """Use the targets of a VM again that were ejected."""
+        """End the ejection of all targets on a VM."""
         for (known_vm, _), health in self._health.items():
             if known_vm == vm:
                 health.forgive()
 
     def record_answer(self, endpoint: Endpoint, start_ms: float) -> None:
-        """Take the head of the answer to a call that was chosen at `start_ms`."""
+        """Record the answer head of the call whose target was chosen at `start_ms`."""
         health = self._health.get(endpoint.key)
         if health is not None:
             health.record_answer(start_ms)
@@ -151,40 +153,44 @@
         end: CallEnd,
         now_ms: float,
     ) -> Ejection | None:
-        """Take the end of a call; return the ejection that follows from it."""
+        """Record the end of a call and return the ejection that results, if any."""
         health = self._health.get(endpoint.key)
         if health is None:
             return None
         health.n_in_flight = max(0, health.n_in_flight - 1)
         health.record_answer(end.start_ms)
         if end.kind is EndKind.GOOD:
-            self._norms.record_outcome(end.route, False)
+            self._latencies.record_outcome(end.route, False)
             health.succeed(now_ms)
-            self._norms.record_latency(end.route, end.latency_ms)
-            health.record_latency(end.latency_ms * self._norms.scale(end.route), now_ms)
+            self._latencies.record_latency(end.route, end.latency_ms)
+            health.record_latency(
+                end.latency_ms * self._latencies.scale(end.route), now_ms
+            )
         elif end.kind is EndKind.REFUSED:
-            # A target that refuses at once has nothing in flight and so looks
-            # idle: without this it would draw all calls and refuse them all.
+            # A target that refuses at once has no calls in flight and so looks idle:
+            # unless it is avoided, it would attract all calls and refuse them.
             avoided_ms = min(end.retry_after_ms or AVOIDED_MS, AVOIDED_MS)
             health.avoided_until_ms = now_ms + avoided_ms
-            self._set_aside[endpoint.key] = health
+            self._restricted[endpoint.key] = health
             health.is_probed = False
         elif end.kind is EndKind.ABANDONED:
             health.is_probed = False
         else:
-            self._norms.record_outcome(end.route, True)
+            self._latencies.record_outcome(end.route, True)
             health.fail(now_ms)
             if end.kind is EndKind.UNREACHABLE:
-                # Every call to a VM that can't be reached would be lost until
-                # the usual number of errors has been seen.
+                # Otherwise every call to an unreachable VM would be lost until the
+                # usual number of errors is reached.
                 health.n_errors = max(health.n_errors, endpoint.policy.ejection_errors)
-            # A quick failure says nothing of speed, a timeout does.
-            latency_ms = end.latency_ms * self._norms.scale(end.route)
+            # A quick failure is no measure of speed; a timeout is.
+            latency_ms = end.latency_ms * self._latencies.scale(end.route)
             if latency_ms > health.latency_ms(now_ms):
                 health.record_latency(latency_ms, now_ms)
             n_errors_min = endpoint.policy.ejection_errors
             if end.kind is not EndKind.UNREACHABLE:
-                n_errors_min = self._norms.n_errors_to_eject(n_errors_min, end.route)
+                n_errors_min = self._latencies.n_errors_to_eject(
+                    n_errors_min, end.route
+                )
             if health.n_errors >= n_errors_min or health.is_failed_probe:
                 return self._eject_if_due(endpoint, endpoints, health, now_ms)
         return None
@@ -201,27 +207,27 @@
         if not health.is_ejected and not self._may_eject(endpoint, endpoints):
             return None
         period_ms = health.eject(now_ms, self._rng)
-        self._set_aside[endpoint.key] = health
+        self._restricted[endpoint.key] = health
         return Ejection(endpoint.key, health.n_errors, period_ms)
 
     def _may_eject(self, endpoint: Endpoint, endpoints: Sequence[Endpoint]) -> bool:
-        """Hold a floor under the targets that stay in use.
+        """Return whether one more target may be ejected.
 
-        A fault on this daemon's own side makes every target look broken; with
-        all of them ejected the service would be gone though nothing is wrong.
+        A fault on this daemon's own side makes every target look broken. If all were
+        ejected, the service would be unavailable although its targets are healthy.
         """
         n_ejected = sum(1 for item in endpoints if self._is_ejected(item.key))
         return n_ejected < _n_ejected_max(endpoints, endpoint)
 
     def _is_ejected(self, key: TargetKey) -> bool:
-        health = self._set_aside.get(key)
+        health = self._restricted.get(key)
         return health is not None and health.is_ejected
 
     def _probe(
         self, group: TargetGroup, excluded: Collection[TargetKey], now_ms: float
     ) -> Endpoint | None:
-        """Return a target whose ejection is over, for one call to try it."""
-        for key, health in self._set_aside.items():
+        """Return a target that is due for a probe by one call, or None."""
+        for key, health in self._restricted.items():
             if key in excluded or key not in group.by_key:
                 continue
             if health.is_due_for_probe(now_ms):
@@ -229,20 +235,20 @@
                 return group.by_key[key]
         return None
 
-    def _left_out(
+    def _ejected_and_avoided(
         self, group: TargetGroup, now_ms: float
     ) -> tuple[Collection[TargetKey], Collection[TargetKey]]:
-        """Return which targets are ejected, down to the floor, and just refused.
+        """Return the ejected targets, within the allowed share, and the avoided ones.
 
-        Targets that left since can have made the ejected ones too large a
-        share; those whose time ends first are then used again.
+        If targets have departed since, the ejected ones may exceed the allowed
+        share; those whose ejection ends first are then used again.
         """
-        if not self._set_aside:
+        if not self._restricted:
             return (), ()
-        self._take_back(now_ms)
+        self._drop_restored(now_ms)
         aside = [
             (health.ejected_until_ms, key, health)
-            for key, health in self._set_aside.items()
+            for key, health in self._restricted.items()
             if key in group.by_key
         ]
         avoided = {key for _, key, health in aside if health.avoided_until_ms > now_ms}
@@ -253,15 +259,15 @@
         n_back = max(0, len(ejected) - _n_ejected_max(group.endpoints, first))
         return {key for _, key in ejected[n_back:]}, avoided
 
-    def _take_back(self, now_ms: float) -> None:
-        """Forget that targets were set aside that are in full use again."""
+    def _drop_restored(self, now_ms: float) -> None:
+        """Drop the restrictions of targets that are in full use again."""
         over = [
             key
-            for key, health in self._set_aside.items()
+            for key, health in self._restricted.items()
             if not health.is_ejected and health.avoided_until_ms <= now_ms
         ]
         for key in over:
-            del self._set_aside[key]
+            del self._restricted[key]
 
     def _pick(
         self,
@@ -271,14 +277,14 @@
         is_quick: Callable[[Endpoint], bool],
         n_answer_bytes: float,
     ) -> Endpoint:
-        """Return the better of two, from the own zone while it has room.
-
-        Bytes between zones are slow and paid for, and where no slot is free there
-        either, a call gains nothing by them unless its own zone is much fuller; a
-        large answer never does. A target of the own zone that is slower than
-        others still serves its callers in time while it is quick enough for them:
-        left at a third of its slots, it would stand idle while every second call
-        crosses zones.
+        """Return the better of two targets, from the own zone while it has free slots.
+
+        Traffic between zones is slow and billed. If the other zone has no free slot
+        either, a call gains by crossing only if its own zone is much fuller, and a
+        call with a large answer never does. A target of the own zone that is slower
+        than others still answers in time while it is quick enough for the objective.
+        If it were used for only a third of its slots, it would be idle while every
+        second call crosses zones.
         """
         near, far = candidates
         if not near:
@@ -319,25 +325,25 @@
         return one if wait_of(one) <= wait_of(other) else other
 
     def _group(self, endpoints: Sequence[Endpoint], now_ms: float) -> TargetGroup:
-        """Return the group of these very endpoints, made anew where they are others."""
-        # Each group holds its endpoints, so that no others can have their identity.
+        """Return the cached group of this sequence object, or create it."""
+        # Each group references its endpoints, so that their `id` is not reused.
         group = self._groups.get(id(endpoints))
         if group is not None:
             return group
-        self._meet(endpoints, now_ms)
+        self._track_new(endpoints, now_ms)
         if len(self._groups) >= N_GROUPS_MAX:
             self._groups.clear()
         group = TargetGroup(endpoints, self._health, self._availability_zone)
         self._groups[id(endpoints)] = group
         return group
 
-    def _meet(self, endpoints: Sequence[Endpoint], now_ms: float) -> None:
-        """Begin to remember targets that are new.
+    def _track_new(self, endpoints: Sequence[Endpoint], now_ms: float) -> None:
+        """Start tracking the health of new targets.
 
-        Where none of a service's targets is known, or this daemon has just started,
-        this daemon is the new one and they are taken as warm. After a restart of the
-        whole fleet targets become known one by one: were all but the first started
-        slowly, it alone would get nearly all calls for ten seconds and queue them,
+        If none of a service's targets is known, or this daemon has just started, this
+        daemon is the new one and the targets are treated as warm. After a restart of
+        the whole fleet, targets are discovered one by one: with a slow start of all but
+        the first, it alone would get nearly all calls for ten seconds and queue them,
         while the slots of the others stay free.
         """
         known = self._health
@@ -351,12 +357,12 @@
         for endpoint in endpoints:
             known[endpoint.key].seen_ms = now_ms
         if len(known) > N_REMEMBERED_MAX:
-            self._forget(now_ms)
+            self._evict_unseen(now_ms)
 
-    def _forget(self, now_ms: float) -> None:
-        """Drop targets that have not been offered for a while.
+    def _evict_unseen(self, now_ms: float) -> None:
+        """Evict targets that have not been among the endpoints for a while.
 
-        Targets come and go for ever; remembering each would fill the memory.
+        Targets are replaced continually, so keeping each would exhaust the memory.
         """
         self._health = {
             key: health
@@ -364,8 +370,8 @@
             if health.n_in_flight or now_ms - health.seen_ms < FORGOTTEN_AFTER_MS
         }
         self._groups.clear()
-        for key in [key for key in self._set_aside if key not in self._health]:
-            del self._set_aside[key]
+        for key in [key for key in self._restricted if key not in self._health]:
+            del self._restricted[key]
 
 
 def _is_much_fuller(near: Endpoint, far: Endpoint, wait_of: WaitOf) -> bool:
--- a/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
@@ -1,4 +1,4 @@
-"""How long a call is expected to wait at a target, as one daemon sees it."""
+"""The expected wait of a call at a target, as one daemon sees it."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from msgspec import Struct
 
 from ..members import TargetState
-from .target_group import Norms, TargetKey
+from .target_group import GroupStatistics, TargetKey
 from .target_health import TargetHealth
 
 if TYPE_CHECKING:
     from ..routing import Endpoint
 
-# Up to which failure rate a target is used like any other, beside the mean of
-# all: a rate over the last ten calls strays by a third of itself and more.
-BLAMELESS_FACTOR: Final = 1.5
-BLAMELESS_RATE: Final = 0.05
-# How failures count against a target: one that fails a tenth of its calls more
-# than that is used like one that is half as quick and half full.
+# A target is used like any other up to a failure rate of the mean of all targets times
+# this factor plus this rate: a rate over ten calls varies by a third of itself or more.
+TOLERATED_FAILURE_FACTOR: Final = 1.5
+TOLERATED_FAILURE_RATE: Final = 0.05
+# How failures above that rate count: a target that fails another tenth of its calls is
+# used like one that is half as quick and half full.
 FAILURE_FACTOR: Final = 8.0
 FAILURE_WAIT: Final = 4.0
 
 
 class Load(Struct, frozen=True):
-    """What the daemon beside a target last reported of it."""
+    """The load of a target as last reported by the daemon beside it."""
 
     n_in_flight: int
     n_queued: int
@@ -35,27 +35,32 @@
 
 
 class WaitOf(Protocol):
-    """Gives the expected wait at an endpoint, in answer times of the fastest one."""
+    """A function that returns the expected wait at an endpoint.
+
+    The unit is the answer time of the fastest target.
+    """
 
     def __call__(self, endpoint: Endpoint, *, is_speed_counted: bool = True) -> float:
-        """Return the wait, or with `is_speed_counted` off how full it is."""
+        """Return the wait or, without `is_speed_counted`, the fill level."""
 
 
 def make_wait_of(
     known: Mapping[TargetKey, TargetHealth],
-    norms: Norms,
+    statistics: GroupStatistics,
     load_of: LoadOf,
     now_ms: float,
 ) -> WaitOf:
-    """Return the function from endpoint to expected wait.
+    """Return a function from an endpoint to its expected wait.
 
-    It is counted in answer times of the fastest target; up to 1 a call finds a
-    slot free. Own calls are counted exactly; the report, which may be a second
-    old, adds those of other daemons and never lowers what is seen here. The
-    latency that was seen makes a queue before a slow target count for more.
+    The unit is the answer time of the fastest target; up to 1 a slot is free. This
+    daemon's own calls are counted exactly. The load report, which may be a second
+    old, adds the calls of other daemons and never lowers the own count. The recorded
+    latency makes the queue of a slow target count for more.
     """
-    fastest_ms = norms.fastest_ms
-    blameless_rate = BLAMELESS_FACTOR * norms.failure_rate + BLAMELESS_RATE
+    fastest_ms = statistics.fastest_ms
+    tolerated_rate = (
+        TOLERATED_FAILURE_FACTOR * statistics.failure_rate + TOLERATED_FAILURE_RATE
+    )
 
     def wait_of(endpoint: Endpoint, *, is_speed_counted: bool = True) -> float:
         health = known[endpoint.key]
@@ -65,15 +70,15 @@
             n_waiting = max(n_waiting, load.n_in_flight) + load.n_queued
         latency_ms = max(health.latency_ms(now_ms), health.oldest_age_ms(now_ms))
         is_cold = endpoint.target.state is TargetState.COLD
-        share = health.warmth(is_cold, now_ms)
+        share = health.slow_start_share(is_cold, now_ms)
         slowness = 1.0
         if fastest_ms and is_speed_counted:
             slowness = max(1.0, latency_ms / fastest_ms)
         wait = slowness * (n_waiting + 1) / (endpoint.target.n_slots * share)
-        failing = health.failure_rate(now_ms) - blameless_rate
-        if failing <= 0.0:
+        excess_rate = health.failure_rate(now_ms) - tolerated_rate
+        if excess_rate <= 0.0:
             return wait
-        return wait * (1 + FAILURE_FACTOR * failing) + FAILURE_WAIT * failing
+        return wait * (1 + FAILURE_FACTOR * excess_rate) + FAILURE_WAIT * excess_rate
 
     return wait_of
 
--- a/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
@@ -1,8 +1,8 @@
-"""Calls that wait for a slot, fair between customers.
+"""Fair queueing between customers for calls that wait for a slot.
 
 Deficit round robin (Shreedhar and Varghese, 1995) with the cost of a call
-counted in mean service times: one is charged when the call is let in, and the
-rest once it is known how long it really took.
+counted in mean service times: one is charged when the call is admitted, and the
+difference to its real duration when it has ended.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 class WaitingCall(Struct, frozen=True):
-    """A call that asks for a slot; times are in milliseconds of one clock.
+    """A call that requests a slot; times are in milliseconds of one clock.
 
     After `wanted_ms` its answer is worth less to the caller, after `deadline_ms`
-    nothing. Calls of one `route` take about as long as each other.
+    nothing. Calls of one `route` take about the same time.
     """
 
     ticket: int
@@ -37,7 +37,7 @@
 
 
 class _Place(Struct, frozen=True):
-    """Where a call stands among those of its customer."""
+    """The position of a call among those of its customer."""
 
     order: Order
     ticket: int
@@ -51,8 +51,8 @@
 class FairQueue:
     """The waiting calls of one priority.
 
-    Customers take turns; a customer's own calls go by the order that they are
-    pushed with, the lowest first.
+    Customers take turns; a customer's own calls are sorted by the order with which
+    they are pushed, lowest first.
     """
 
     def __init__(self) -> None:
@@ -65,10 +65,10 @@
         return self._n_calls
 
     def push(self, call: WaitingCall, order: Order = (0, 0.0)) -> None:
-        """Add a call in its place among the others of its customer.
+        """Insert a call among the others of its customer.
 
-        A customer that had nothing waiting has the next turn: it is using less
-        than its share, and must not stand behind one that floods.
+        A customer without waiting calls gets the next turn: it uses less than its
+        share and must not wait behind a customer that floods the queue.
         """
         queue = self._queues.get(call.customer)
         if queue is None:
@@ -79,10 +79,11 @@
         self._n_calls += 1
 
     def pop(self) -> WaitingCall:
-        """Take the first call of the customer whose turn it is.
+        """Remove and return the first call of the customer whose turn it is.
 
-        A customer whose last call was taken keeps its place for one more round;
-        else it could come back as a new one at once and pass all the others.
+        A customer whose last call was removed stays in the rotation for one more
+        round; otherwise its next call would make it a new customer, which goes ahead
+        of all others.
         """
         while True:
             customer = self._turns.popleft()
@@ -99,23 +100,23 @@
                 return queue.pop(0).call
 
     def charge(self, customer: str, cost: float) -> None:
-        """Charge a customer what its call cost beyond one mean service time."""
+        """Charge a customer the cost of a call beyond one mean service time."""
         if customer in self._deficits:
             deficit = self._deficits[customer] - cost
             self._deficits[customer] = max(-DEBT_MAX, min(0.0, deficit))
 
     def remove(self, call: WaitingCall) -> None:
-        """Take a call out that no longer waits."""
+        """Remove a call that no longer waits."""
         queue = self._queues[call.customer]
         queue[:] = [place for place in queue if place.ticket != call.ticket]
         self._n_calls -= 1
 
     def n_of(self, customer: str) -> int:
-        """Return how many calls of a customer wait."""
+        """Return the number of waiting calls of a customer."""
         return len(self._queues.get(customer, ()))
 
     def n_ahead(self, customer: str, order: Order = (0, math.inf)) -> int:
-        """Return how many calls come before a new one of a customer."""
+        """Return how many waiting calls are ahead of a new call of a customer."""
         own = self._queues.get(customer, ())
         n_own = bisect.bisect_right(own, order, key=lambda place: place.order)
         return n_own + sum(
@@ -125,11 +126,11 @@
         )
 
     def newest_of_longest(self) -> WaitingCall:
-        """Return the last call of the customer with the most waiting."""
+        """Return the last call of the customer with the most waiting calls."""
         return max(self._queues.values(), key=len)[-1].call
 
     def oldest(self) -> WaitingCall:
-        """Return the call that has waited longest of those that come next."""
+        """Return the call that arrived first among the customers' next calls."""
         heads = (queue[0].call for queue in self._queues.values() if queue)
         return min(heads, key=lambda call: call.arrived_ms)
 
--- a/packages/pepperstair-core/pepperstair_core/calls/fingerprint.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fingerprint.py
@@ -1,4 +1,4 @@
-"""Tells which requests are the same, whatever ids their callers give them."""
+"""Fingerprints that identify equal requests, independent of their request ids."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 def fingerprint(method: str, host: str, path: str, service: str, body: bytes) -> bytes:
-    """Return a short digest of what a target is asked to do.
+    """Return a short digest of the request that a target is to run.
 
     `service` is that of the caller, `path` includes the query, `body` may be the
     beginning of a larger one. Requests with equal fingerprints do the same work, so
-    what one of them did to its target says what the others would do.
+    the effect of one of them on its target predicts that of the others.
 
     >>> first = fingerprint("GET", "maps.example", "/logs/1", "", b"")
     >>> first == fingerprint("GET", "maps.example", "/logs/1", "", b"")
--- a/packages/pepperstair-core/pepperstair_core/calls/fleet_budget.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fleet_budget.py
@@ -1,4 +1,4 @@
-"""A retry budget that all daemons share without talking about it."""
+"""A retry budget that all daemons share without communication."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 from msgspec import Struct
 
-# Part of the budget that is used. The windows of the daemons don't begin
-# together, and one that crashed has used its part and is replaced by one that
-# does not know of it.
+# The share of the budget that is used. The windows of the daemons are not aligned,
+# and a crashed daemon has used its part and is replaced by one without that record.
 USED_SHARE: Final = 0.75
-# What each priority may use of a daemon's part: the rest is left to more urgent
-# calls, which would find nothing after a burst of refusals of lesser ones.
+# The share of a daemon's part that each priority may use. The remainder is reserved
+# for more urgent calls, which a burst of refused less urgent calls would otherwise
+# leave without a budget.
 SHARE_OF_PRIORITY: Final = {"urgent": 1.0, "normal": 0.9, "deferrable": 0.7}
 _N_BUCKETS: Final = 20
 
 
 class BudgetTerms(Struct, frozen=True):
-    """How many calls a service may get once more, over all daemons.
+    """The limit on the retries to a service, over all daemons.
 
-    `ratio` of the requests for it and `n_min` beside that within any
-    `window_ms`.
+    Within any `window_ms`, they are `ratio` of the requests to the service plus
+    `n_min`.
     """
 
     ratio: float
@@ -31,12 +31,12 @@
 
 
 class FleetRetryBudget:
-    """One daemon's part of a service's budget.
+    """One daemon's part of the retry budget of a service.
 
-    Blind retries multiply the load on a service just when it can bear it least,
-    and a budget for each daemon adds up to any number of them. A retry of a
-    call that no target has seen adds nothing to the load and is free. `terms` is asked
-    for each call, as operators may change them.
+    Unlimited retries multiply the load on a service when it is least able to handle
+    it, and independent budgets would add up with the number of daemons. A retry of a
+    call that no target has seen adds no load and is free. `terms` is evaluated for
+    each call, as operators may change them.
 
     >>> terms = BudgetTerms(0.0, 8, 10_000)
     >>> budget = FleetRetryBudget(lambda: terms, lambda: 0.0, lambda: 3)
@@ -57,11 +57,11 @@
         self._n_retries = _Window()
 
     def add_call(self, percent: int) -> None:
-        """Take note of a call."""
+        """Count a call; `percent` is not used."""
         self._n_calls.add(self._now_ms(), self._terms().window_ms)
 
     def take(self, priority: str, has_arrived: bool = True) -> bool:
-        """Use up one retry, and say whether there was one."""
+        """Use up one retry and return whether one was available."""
         if not has_arrived:
             return True
         now_ms = self._now_ms()
@@ -77,7 +77,7 @@
 
 
 class _Window:
-    """A count over the last while, kept in a few buckets."""
+    """A count over a sliding window, kept in `_N_BUCKETS` buckets."""
 
     __slots__ = ("_buckets", "_n_total")
 
@@ -86,7 +86,7 @@
         self._n_total = 0
 
     def add(self, now_ms: float, window_ms: int) -> None:
-        """Count one."""
+        """Count one event."""
         self._expire(now_ms, window_ms)
         bucket_ms = window_ms / _N_BUCKETS
         if not self._buckets or now_ms - self._buckets[-1][0] >= bucket_ms:
--- a/packages/pepperstair-core/pepperstair_core/calls/outcome.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/outcome.py
@@ -1,4 +1,4 @@
-"""How a call ended, as the burn report and the metrics count it."""
+"""The outcome of a call, as counted by the burn rate report and the metrics."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 class CallOutcome(Struct, frozen=True):
     """One caller's request from its head to the end of its answer.
 
-    `error` is None where the target's whole answer was passed on; `n_retries`
-    counts the attempts after the first.
+    `error` is None if the target's whole answer was forwarded; `n_retries` counts the
+    attempts after the first.
     """
 
     customer: str
--- a/packages/pepperstair-core/pepperstair_core/calls/pacing.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/pacing.py
@@ -1,38 +1,37 @@
-"""When the next part of a large answer may leave on a slow link.
+"""Pacing of large answers on slow links.
 
-A link carries bytes in the order in which they were written. A large answer that is
-written at once stands before every small one that comes after it: 90 KB take 0.29 s
-of a link of 2.5 Mbit/s. One notices look-ups that take 0.3 s though their target
-answered in 40 ms, and calls that wait for those hold slots meanwhile. Written in
-parts, at a little less than the pace of the link, large answers leave gaps that
-small ones use at once. Three quarters of the look-ups then came within 74 to 253 ms,
-and within 142 to 498 ms without it: from the sampled log lines of ten spans of 3 s, on
-66 VMs with such links and 31 map packs a second.
+A link carries bytes in the order in which they are written, so a large answer written
+at once delays every small one after it: 90 KB take 0.29 s on a link of 2.5 Mbit/s.
+Look-ups then take 0.3 s although their target answered in 40 ms, and the calls that
+wait for them hold slots meanwhile. If large answers are written in parts, at slightly
+less than the link's rate, small answers are sent in the gaps. With 66 VMs on such links
+and 31 map packs a second, the 75th percentile of look-ups over ten periods of 3 s is 74
+to 253 ms with pacing and 142 to 498 ms without.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# What large answers may take of the link: the rest is for whatever else leaves,
-# such as small answers, requests and the streams' own bytes.
+# The share of the link's rate that large answers may use. The remainder is for all
+# other traffic, such as small answers, requests and the overhead of the streams.
 _SHARE: Final = 0.85
-# A small answer waits for a part or two: chosen beside look-ups of 40 ms. Each part
-# wakes both daemons up, so that shorter ones would cost more processor time.
+# A small answer waits for one or two parts, which is acceptable for look-ups of 40 ms.
+# Each part wakes up both daemons, so shorter parts would use more processor time.
 _PART_MS: Final = 30.0
 _PART_MIN_BYTES: Final = 4_096
-# Links that carry the largest part within this time need no pacing, in ms: a
-# small answer hardly waits there, and larger parts wake the daemons up less.
+# Links that carry the largest part within this time need no pacing: a small answer
+# hardly waits there, and larger parts wake up the daemons less often.
 _FAST_PART_MS: Final = 5.0
 _BYTES_PER_MS_OF_MBPS: Final = 125.0
 
 
 class LinkPacer:
-    """Spreads the parts of all large answers of a VM over its link.
+    """Schedules the parts of all large answers of a VM on its link.
 
-    `link_mbps` is the pace of the link in megabits a second, 0 where it is not
-    known; times are in milliseconds. Parts that wait leave in the order in which
-    they asked, so that answers which are sent at once share the link.
+    `link_mbps` is the rate of the link in megabits per second, 0 if unknown; times
+    are in milliseconds. Parts are sent in the order of their requests, so that
+    concurrent answers share the link.
 
     >>> pacer = LinkPacer(2.5, 65_536)
     >>> pacer.part_bytes
@@ -55,11 +54,11 @@
         self.part_bytes = min(part_max_bytes, max(_PART_MIN_BYTES, paced_bytes))
 
     def may_leave_whole(self, n_bytes: int) -> bool:
-        """Return whether an answer needs no parts, and so costs one write."""
+        """Return whether an answer may be sent in a single write, without parts."""
         return not self._bytes_per_ms or n_bytes <= self.part_bytes
 
     def delay_ms(self, n_bytes: int, now_ms: float) -> float:
-        """Return how long the next part has to wait, and keep its place."""
+        """Reserve the link for the next part and return how long it has to wait."""
         if not self._bytes_per_ms:
             return 0.0
         start_ms = max(now_ms, self._free_ms)
--- a/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
@@ -1,8 +1,8 @@
-"""Which requests have crashed the targets that ran them, and are kept from others.
+"""Quarantine of poison requests, which crash the targets that run them.
 
-A request that makes its target end does the same to the next one that runs it. Each
-daemon counts, by fingerprint, the crashes at which a request was running anywhere in
-the fleet. Records merge to the same result in whatever order they arrive.
+A request that crashes its target also crashes the next one that runs it. Each daemon
+counts, by fingerprint, the crashes anywhere in the fleet during which a request was
+running. Records merge to the same result in any order of arrival.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 from ..array_record import ArrayRecord
 from ..errors import ErrorKind, Failure, Run
 
-# Crashes after which a request is kept from every target.
+# Crashes after which a request is quarantined from every target.
 N_CRASHES_MAX: Final = 3
-# From this many on it runs beside no other suspect, so that the next crash tells
-# which of them it was.
+# From this many crashes on a request runs beside no other suspect, so that the next
+# crash identifies the one that caused it.
 N_CRASHES_ISOLATED: Final = 2
-# How long a request is kept away; doubled with each crash that follows.
+# First quarantine; doubled with each further crash.
 QUARANTINE_MS: Final = 600_000
 QUARANTINE_MAX_MS: Final = 86_400_000
-# How long crashes count that are too few for that.
+# How long crashes count that are too few for a quarantine.
 RECORD_KEPT_MS: Final = 600_000
 N_TRACKED_MAX: Final = 1024
-# More crashes of one request change nothing, and records have to fit frames.
+# Further crashes of one request change nothing, and records have to fit into frames.
 N_CRASH_IDS_MAX: Final = 16
 
 
 class CrashRecord(ArrayRecord):
-    """The crashes at which a request was running.
+    """The crashes during which a request was running.
 
-    `cleared_ids` are those crashes that it can't have caused, as a target has answered
-    such a request since.
+    `cleared_ids` are the crashes that it can't have caused, because a target has
+    answered such a request since.
     """
 
     fingerprint: bytes
@@ -44,12 +44,12 @@
 
     @property
     def is_open(self) -> bool:
-        """Return whether there is a crash that the request may have caused."""
+        """Return whether the request may have caused any of the crashes."""
         return not set(self.crash_ids) <= set(self.cleared_ids)
 
 
 class Standing(Enum):
-    """How a request may be run."""
+    """Whether a request may run without restriction, in isolation or not at all."""
 
     TRUSTED = "trusted"
     SUSPECT = "suspect"
@@ -67,7 +67,7 @@
 
 
 class Quarantine:
-    """The requests under suspicion.
+    """The requests that are suspected of crashing targets.
 
     >>> quarantine = Quarantine()
     >>> for crash_id in ("vm-1/1", "vm-2/1", "vm-3/1"):
@@ -81,7 +81,7 @@
         self._records: dict[bytes, _Record] = {}
 
     def standing(self, fingerprint: bytes, now_ms: float) -> Standing:
-        """Return how a request may be run now."""
+        """Return the current standing of a request."""
         record = self._records.get(fingerprint)
         if record is None:
             return Standing.TRUSTED
@@ -93,9 +93,9 @@
         return Standing.SUSPECT
 
     def refusal(self, fingerprint: bytes, now_ms: float) -> Failure | None:
-        """Return the failure of a quarantined request, None for any other one.
+        """Return the failure of a quarantined request, or None for any other request.
 
-        It says when such a request may run again.
+        The failure states when such a request may run again.
         """
         if self.standing(fingerprint, now_ms) is not Standing.QUARANTINED:
             return None
@@ -105,7 +105,7 @@
         return Failure(ErrorKind.QUARANTINED, fingerprint.hex(), left_ms, Run.NO)
 
     def n_quarantined(self, now_ms: float) -> int:
-        """Return how many requests are kept from all targets."""
+        """Return the number of quarantined requests."""
         return sum(
             self.standing(fingerprint, now_ms) is Standing.QUARANTINED
             for fingerprint in self._records
@@ -114,10 +114,10 @@
     def record_crash(
         self, running: Iterable[bytes], crash_id: str, now_ms: float
     ) -> tuple[CrashRecord, ...]:
-        """Take the crash of a target that was running some requests.
+        """Record the crash of a target and return the records of the charged requests.
 
-        Only those that stood at the most crashes before are charged: they explain this
-        one, and what ran beside them is not to become a suspect for that.
+        Only the running requests with the most earlier crashes are charged: they
+        explain this crash, and requests that ran beside them must not become suspects.
         """
         running = set(running)
         if not running:
@@ -132,36 +132,36 @@
         return tuple(self.get(record.fingerprint) for record in charged)
 
     def record_answer(self, fingerprint: bytes) -> CrashRecord | None:
-        """Take that a request was answered, and return its record if that is news."""
+        """Record that a request was answered; return its record if this changed it."""
         record = self._records.get(fingerprint)
         if record is None or not record.n_crashes:
             return None
         record.cleared_ids |= record.crash_ids
         return self.get(fingerprint)
 
-    def merge(self, told: CrashRecord, now_ms: float) -> bool:
-        """Take what another daemon knows, and return whether it was news."""
-        record = self._records.get(told.fingerprint)
+    def merge(self, received: CrashRecord, now_ms: float) -> bool:
+        """Merge a record of another daemon and return whether it changed anything."""
+        record = self._records.get(received.fingerprint)
         if record is None:
-            self._make_room(now_ms)
+            self._evict_if_full(now_ms)
             record = _Record(set(), set(), now_ms)
-            self._records[told.fingerprint] = record
-        elif self._is_old(record, now_ms):
+            self._records[received.fingerprint] = record
+        elif self._is_expired(record, now_ms):
             record.cleared_ids |= record.crash_ids
         if len(record.crash_ids) >= N_CRASH_IDS_MAX and not record.n_crashes:
             record.crash_ids.clear()
             record.cleared_ids.clear()
         n_crashes, n_known = record.n_crashes, len(record.crash_ids)
         n_cleared = len(record.cleared_ids)
-        record.cleared_ids |= set(told.cleared_ids)
+        record.cleared_ids |= set(received.cleared_ids)
         if n_known < N_CRASH_IDS_MAX:
-            record.crash_ids |= set(told.crash_ids)
+            record.crash_ids |= set(received.crash_ids)
         if record.n_crashes > n_crashes:
             record.crashed_ms = now_ms
         return (n_known, n_cleared) != (len(record.crash_ids), len(record.cleared_ids))
 
     def records(self) -> Iterator[CrashRecord]:
-        """Yield every record, for a daemon that may know none of them."""
+        """Yield every record, for a daemon that may have none of them."""
         for fingerprint in self._records:
             yield self.get(fingerprint)
 
@@ -169,7 +169,7 @@
         return fingerprint in self._records
 
     def get(self, fingerprint: bytes) -> CrashRecord:
-        """Return all that is known of a request under suspicion."""
+        """Return the record of a tracked request."""
         record = self._records[fingerprint]
         crash_ids, cleared_ids = sorted(record.crash_ids), sorted(record.cleared_ids)
         return CrashRecord(fingerprint, tuple(crash_ids), tuple(cleared_ids))
@@ -178,15 +178,15 @@
         record = self._records.get(fingerprint)
         if record is None:
             return 0
-        return 0 if self._is_old(record, now_ms) else record.n_crashes
+        return 0 if self._is_expired(record, now_ms) else record.n_crashes
 
-    def _is_old(self, record: _Record, now_ms: float) -> bool:
-        """Return whether the crashes are too few and too long ago to mean anything."""
+    def _is_expired(self, record: _Record, now_ms: float) -> bool:
+        """Return whether the crashes are too few for a quarantine and out of date."""
         is_quarantined = record.n_crashes >= N_CRASHES_MAX
         return not is_quarantined and now_ms >= record.crashed_ms + RECORD_KEPT_MS
 
-    def _make_room(self, now_ms: float) -> None:
-        """Forget the oldest record, one that keeps nothing from targets if there is."""
+    def _evict_if_full(self, now_ms: float) -> None:
+        """Evict the oldest record if full, preferring those that quarantine nothing."""
         if len(self._records) < self._n_tracked_max:
             return
         self._records.pop(
--- a/packages/pepperstair-core/pepperstair_core/calls/retry.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/retry.py
@@ -1,8 +1,9 @@
-"""Whether a failed call is sent again, and when.
+"""Retry decisions: whether and when a failed call is sent again.
 
-A call is sent again only where that can't make it run twice: it provably did
-not run, or it is idempotent. A budget keeps retries a fixed share of calls, as
-blind retries multiply the load on a service just when it can bear it least.
+A call is retried only if it provably did not run or is idempotent, so that no retry
+runs a non-idempotent call twice. A budget limits retries to a fixed share of calls,
+because unlimited retries multiply the load on a service when it is least able to
+handle it.
 """
 
 from __future__ import annotations
@@ -20,18 +21,19 @@
 BACKOFF_MAX_MS: Final = 250.0
 BUDGET_FIRST_PERCENT: Final = 1_000
 BUDGET_MAX_PERCENT: Final = 10_000
-# What less urgent calls leave in the budget: under overload their refusals
-# would else use all of it, and a refused booking could not go elsewhere.
+# Percent that calls of each priority must leave in the budget. Under overload the
+# refusals of less urgent calls would otherwise use all of it, and a refused booking
+# could not go to another target.
 RESERVED_PERCENT: Final = {"urgent": 0, "normal": 500, "deferrable": 900}
 
-# What an idempotent call may be sent again after, though it may have run.
+# Failures after which an idempotent call may be retried although it may have run.
 _LOST_ANSWERS: Final = frozenset(
     {ErrorKind.TARGET_FAILED, ErrorKind.TARGET_CRASHED, ErrorKind.OUTCOME_UNKNOWN}
 )
 
 
 class GiveUpCause(StrEnum):
-    """Why a failed call is not sent again."""
+    """Why a failed call is not retried."""
 
     MAY_HAVE_RUN = "it may have run"
     FINAL = "another attempt would end the same"
@@ -43,10 +45,10 @@
 
 
 class Attempt(Struct, frozen=True):
-    """A failed attempt: the failure and what it left to work with.
+    """A failed attempt and the limits that apply to another one.
 
-    `earlier_run` is what the attempts before it say of whether the call ran,
-    `has_arrived` whether it may have reached a target in any of them.
+    `earlier_run` is whether the call ran in the attempts before this one, and
+    `has_arrived` whether it may have reached a target in any attempt.
     """
 
     failure: Failure
@@ -61,10 +63,10 @@
 
     @property
     def has_run(self) -> Run:
-        """Return whether the call ran, over all attempts.
+        """Return whether the call ran in any attempt.
 
-        The last refusal proves nothing of an earlier attempt whose answer was
-        lost: telling its caller `no` could make it book a second time.
+        A refusal of the last attempt proves nothing about an earlier attempt whose
+        answer was lost: reporting `no` could make the caller book a second time.
         """
         if self.earlier_run is Run.NO:
             return self.failure.has_run
@@ -84,20 +86,20 @@
 
 
 class RetryBudget(Protocol):
-    """What may be sent again, in whatever way it is counted."""
+    """A limit on the number of retries."""
 
     def add_call(self, percent: int) -> None:
-        """Take note of a call, which permits this share of a retry."""
+        """Count a call, which permits `percent` hundredths of a retry."""
 
     def take(self, priority: str, has_arrived: bool = True) -> bool:
-        """Use up one retry, and say whether there was one.
+        """Use up one retry and return whether one was available.
 
-        `has_arrived` says whether a target may have seen the call before.
+        `has_arrived` says whether the call may have reached a target before.
         """
 
 
 class TokenRetryBudget:
-    """A token bucket that each call fills a little and each retry takes from.
+    """A token bucket that calls fill and retries drain, counted in percent of a retry.
 
     >>> budget = TokenRetryBudget()
     >>> budget.take("urgent")
@@ -110,13 +112,13 @@
         self._percent = BUDGET_FIRST_PERCENT
 
     def add_call(self, percent: int) -> None:
-        """Take note of a call, which permits this share of a retry."""
+        """Count a call, which permits `percent` hundredths of a retry."""
         self._percent = min(BUDGET_MAX_PERCENT, self._percent + percent)
 
     def take(self, priority: str, has_arrived: bool = True) -> bool:
-        """Use up one retry, and say whether there was one.
+        """Use up one retry and return whether one was available.
 
-        Every retry counts here, whether or not a target has seen the call.
+        Every retry counts, whether or not the call has reached a target.
         """
         if self._percent < 100 + RESERVED_PERCENT[priority]:
             return False
@@ -125,7 +127,7 @@
 
 
 def decide_retry(attempt: Attempt, budget: RetryBudget, rng: Random) -> Retry | GiveUp:
-    """Decide what follows a failed attempt; a retry is taken from the budget."""
+    """Return whether to retry after a failed attempt; a retry uses up the budget."""
     failure = attempt.failure
     if attempt.has_run is not Run.NO and not attempt.is_idempotent:
         return GiveUp(GiveUpCause.MAY_HAVE_RUN)
@@ -135,7 +137,7 @@
         return GiveUp(GiveUpCause.FINAL)
     if attempt.n_attempts >= attempt.n_attempts_max:
         return GiveUp(GiveUpCause.ATTEMPTS)
-    # Full jitter: callers that failed together must not come back together.
+    # Full jitter, so that calls that failed together are not retried together.
     longest_ms = min(BACKOFF_MAX_MS, BACKOFF_BASE_MS * 2 ** (attempt.n_attempts - 1))
     delay_ms = rng.random() * longest_ms
     if delay_ms >= attempt.time_left_ms:
--- a/packages/pepperstair-core/pepperstair_core/calls/route_statistics.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_statistics.py
@@ -1,4 +1,7 @@
-"""What calls of a route are usually like, as far as one daemon has seen."""
+"""Statistics of routes and services from the calls of one daemon.
+
+They cover answer sizes, caller timeouts and acceptance rates.
+"""
 
 from __future__ import annotations
 
@@ -6,17 +9,17 @@
 
 N_ROUTES_MAX: Final = 1_000
 SIZE_WEIGHT: Final = 0.05
-# The median follows by steps of this share of itself for each request.
+# Each request moves the median by at most this share of its value.
 MEDIAN_STEP: Final = 0.02
-# A caller that says it waits less than this share of what is usual has used up
-# the rest, or is another kind of caller; either way it is served after others.
-RETURNED_SHARE: Final = 0.85
-# The share of accepted calls follows the last thirty or so.
+# A caller with a timeout below this share of the median has already waited for the
+# rest, or is another kind of caller; either way it is served after others.
+REPEATED_TIMEOUT_SHARE: Final = 0.85
+# Weight of the newest call in the acceptance rate, which covers about thirty calls.
 ACCEPTED_WEIGHT: Final = 0.03
-# When to come back after a target with free slots has turned a call away: about
-# the back-off of an attempt within the mesh, so that the answer can still be in time.
-SOON_MS: Final = 50.0
-LATEST_RETURN_MS: Final = 1_000
+# Retry time after a target with free slots has refused a call: about the back-off of
+# an attempt within the mesh, so that the answer can still be in time.
+RETRY_AFTER_MIN_MS: Final = 50.0
+RETRY_AFTER_MAX_MS: Final = 1_000
 
 
 class AnswerSizes:
@@ -32,7 +35,7 @@
         self._mean_bytes: dict[str, float] = {}
 
     def record(self, route: str, n_bytes: int) -> None:
-        """Take the size of one answer."""
+        """Record the size of one answer."""
         known = self._mean_bytes
         if len(known) >= N_ROUTES_MAX and route not in known:
             known.clear()
@@ -40,16 +43,16 @@
         known[route] = mean_bytes + SIZE_WEIGHT * (n_bytes - mean_bytes)
 
     def of(self, route: str) -> float:
-        """Return the mean size, 0 where no answer was seen."""
+        """Return the mean size, 0 if no answer has been seen."""
         return self._mean_bytes.get(route, 0.0)
 
 
 class CallerTimeouts:
-    """How long the callers of a route usually say that they wait.
+    """The median timeout that the callers of a route request.
 
-    A caller that was refused and comes back states what is left of its time.
-    Its answer can't be in time any more as often, and serving it like a new one
-    would make a new one late too.
+    A caller that retries after a refusal requests its remaining time. Its answer is
+    less likely to be in time, and serving it like a new call would make new calls
+    late too.
 
     >>> timeouts = CallerTimeouts()
     >>> [timeouts.waited_ms("r", 800) for _ in range(3)]
@@ -62,7 +65,10 @@
         self._median_ms: dict[str, float] = {}
 
     def waited_ms(self, route: str, timeout_ms: int) -> int:
-        """Take what a caller states and return how long it has waited before."""
+        """Record a requested timeout and return how long the caller has already waited.
+
+        The result is in milliseconds, 0 for a new call or one without a timeout.
+        """
         if not timeout_ms:
             return 0
         known = self._median_ms
@@ -72,19 +78,19 @@
         step_ms = median_ms * MEDIAN_STEP
         change_ms = max(-step_ms, min(step_ms, timeout_ms - median_ms))
         known[route] = median_ms + change_ms
-        if timeout_ms >= median_ms * RETURNED_SHARE:
+        if timeout_ms >= median_ms * REPEATED_TIMEOUT_SHARE:
             return 0
         return int(median_ms - timeout_ms)
 
 
 class AcceptanceRates:
-    """Which share of the calls that reach a service's targets is taken in.
+    """The share of the calls to a service's targets that the targets accept.
 
-    A target that turns calls away though its slots are free does so by its own
-    rule, not for want of room, and the next try may be taken. A caller told to come
-    back in a second then has lost its time: with targets that turn away every second
-    call for some seconds, callers get their answer within the wanted time far more
-    often when they come back at once. The fewer are taken, the longer it is.
+    A target that refuses calls although its slots are free does so by a rule of its
+    own rather than for lack of capacity, and the next attempt may be accepted. Waiting
+    a second would then waste the caller's time: if targets refuse every second call
+    for some seconds, callers get their answer within the wanted time far more often by
+    retrying at once. The lower the share, the longer the retry time.
 
     >>> acceptance = AcceptanceRates()
     >>> acceptance.retry_after_ms("ledger")
@@ -95,16 +101,16 @@
         self._shares: dict[str, float] = {}
 
     def record(self, service: str, is_accepted: bool) -> None:
-        """Take whether a target took a call in."""
+        """Record whether a target accepted a call."""
         if len(self._shares) >= N_ROUTES_MAX and service not in self._shares:
             self._shares.clear()
         share = self._shares.get(service, 1.0)
         self._shares[service] = share + ACCEPTED_WEIGHT * (is_accepted - share)
 
     def retry_after_ms(self, service: str) -> int:
-        """Return when a caller should come back whose call was turned away."""
+        """Return after how many milliseconds to retry a call that a target refused."""
         share = self._shares.get(service, 1.0)
-        return int(min(LATEST_RETURN_MS, SOON_MS / max(share, 0.01)))
+        return int(min(RETRY_AFTER_MAX_MS, RETRY_AFTER_MIN_MS / max(share, 0.01)))
 
 
 __all__ = ["AcceptanceRates", "AnswerSizes", "CallerTimeouts"]
--- a/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
@@ -1,12 +1,12 @@
-"""What became of the non-idempotent calls that this process has taken.
+"""Outcomes of the non-idempotent calls that this process has accepted.
 
-A stream can be lost after a target ran a call and before the answer arrived.
-The caller's daemon then asks by id, and must get the answer of that one run, or
-the truth about it: "not run" only where the call can never run any more.
+A stream can be lost after a target ran a call and before the answer arrived. The
+caller's daemon then asks by id and must get the answer of that one run or its true
+state: "not run" is returned only if the call can never run any more.
 
-The memory is bounded by refusing new calls as not run. A call is forgotten only
-when its deadline and a margin have passed, and from then on its id and all
-lower ones of the same process count as unknown: neither run again nor denied.
+The memory is bounded by refusing new calls as not run. A call is evicted only when
+its deadline and a margin have passed. From then on its id and all lower ids of the
+same process count as unknown: they are neither run again nor reported as not run.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 
 
 class Sender(Struct, frozen=True):
-    """The process of a daemon that sends calls."""
+    """One process of a daemon that sends calls."""
 
     vm: str
     start_id: int
 
 
 class CallKey(Struct, frozen=True):
-    """A call, wherever and however often its id arrives."""
+    """The identity of a call, the same for every copy of its head that arrives."""
 
     sender: Sender
     call_id: int
@@ -57,12 +57,12 @@
 
     @property
     def n_bytes(self) -> int:
-        """Return about how much memory the answer takes."""
+        """Return the approximate size of the answer in memory."""
         return len(self.body) + sum(len(k) + len(v) for k, v in self.headers)
 
 
 class Admission(Enum):
-    """Whether a call that arrives may run."""
+    """Whether an arriving call may run."""
 
     TAKEN = "taken"
     FULL = "full"
@@ -70,7 +70,7 @@
 
 
 class RunState(Enum):
-    """What is known of a call that is asked for."""
+    """What is known about a call."""
 
     RUNNING = "running"
     ANSWERED = "answered"
@@ -79,8 +79,8 @@
     UNKNOWN = "unknown"
 
 
-class Recall(Struct, frozen=True):
-    """The answer to a question after a call."""
+class LookupResult(Struct, frozen=True):
+    """What is known about a call, with its answer if that is kept."""
 
     state: RunState
     answer: KeptAnswer | None = None
@@ -94,7 +94,7 @@
 
 
 class RunMemory:
-    """The non-idempotent calls taken and what became of them.
+    """The accepted non-idempotent calls and their outcomes.
 
     >>> memory = RunMemory(n_runs_max=10)
     >>> key = CallKey(Sender("vm-1", 7), 1)
@@ -120,13 +120,13 @@
     def begin(
         self, key: CallKey, sequence: int, time_left_ms: int, now_ms: int
     ) -> Admission:
-        """Take a call that arrived, unless it was here before or there is no room.
+        """Accept an arriving call unless it is a repetition or the memory is full.
 
-        `sequence` is that of the stream. A call that was said not to have run
-        may be sent again on the stream it was asked for on, or a later one; a
-        head on an earlier one is the lost one that comes late.
+        `sequence` is that of the stream. A call that was reported as not run may be
+        sent again on the stream on which it was looked up, or on a later one; a head
+        on an earlier stream is the delayed original.
         """
-        self._forget(now_ms)
+        self._evict_expired(now_ms)
         run = self._runs.get(key)
         if run is not None:
             if run.state is not RunState.NEVER_RUN or sequence < run.sequence:
@@ -142,7 +142,7 @@
         return Admission.TAKEN
 
     def finish(self, key: CallKey, answer: KeptAnswer | None) -> None:
-        """Note that a run is over; None where its answer was too large to keep."""
+        """Record the end of a run; `answer` is None if it was too large to keep."""
         run = self._runs[key]
         if answer is None or answer.n_bytes > ANSWER_KEPT_MAX_BYTES:
             run.state = RunState.NOT_KEPT
@@ -152,28 +152,28 @@
         self.n_kept_bytes += answer.n_bytes
 
     def release(self, key: CallKey) -> None:
-        """Drop an answer that its caller has; that the call ran is still known."""
+        """Drop an answer that the caller has received, but not the fact of the run."""
         run = self._runs.get(key)
         if run is not None and run.state is RunState.ANSWERED:
             self._drop_answer(run)
             run.state = RunState.NOT_KEPT
 
-    def look_up(self, key: CallKey, sequence: int, now_ms: int) -> Recall:
-        """Return what became of a call.
+    def look_up(self, key: CallKey, sequence: int, now_ms: int) -> LookupResult:
+        """Return the state of a call, and its answer if that is kept.
 
-        A call that never arrived is marked on being asked for: its head may
-        still be on its way on the lost stream, and would run after the caller
-        was told that it had not.
+        A call that has not arrived is recorded as never run, because its head may
+        still arrive on the lost stream and would run after the caller was told that
+        it had not.
         """
-        self._forget(now_ms)
+        self._evict_expired(now_ms)
         run = self._runs.get(key)
         if run is not None:
             run.sequence = max(run.sequence, sequence)
-            return Recall(run.state, run.answer)
+            return LookupResult(run.state, run.answer)
         if self._is_forgotten(key) or len(self._runs) >= 2 * self._n_runs_max:
-            return Recall(RunState.UNKNOWN)
+            return LookupResult(RunState.UNKNOWN)
         self._add(key, RunState.NEVER_RUN, sequence, now_ms + FORGET_MARGIN_MS)
-        return Recall(RunState.NEVER_RUN)
+        return LookupResult(RunState.NEVER_RUN)
 
     def _add(
         self, key: CallKey, state: RunState, sequence: int, expires_ms: int
@@ -185,8 +185,8 @@
         self._n_expiries += 1
         heapq.heappush(self._expiries, (expires_ms, self._n_expiries, key))
 
-    def _forget(self, now_ms: int) -> None:
-        """Forget the calls that are over and whose deadlines are long past."""
+    def _evict_expired(self, now_ms: int) -> None:
+        """Evict the calls that have ended and whose deadline and margin have passed."""
         for key in list(self._iter_expired(now_ms)):
             run = self._runs.get(key)
             if run is None or run.expires_ms > now_ms:
@@ -230,7 +230,7 @@
     "Admission",
     "CallKey",
     "KeptAnswer",
-    "Recall",
+    "LookupResult",
     "RunMemory",
     "RunState",
     "Sender",
--- a/packages/pepperstair-core/pepperstair_core/calls/sampling.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/sampling.py
@@ -1,19 +1,19 @@
-"""Which requests have a log line although nothing is remarkable about them."""
+"""Sampling of the requests that are logged although nothing unusual happened."""
 
 from __future__ import annotations
 
 import zlib
 from typing import Final
 
-# One in so many: enough to see what is usual, and a hundredth of the cost.
+# One in this many requests: enough to see typical requests, at a hundredth of the cost.
 SAMPLED_ONE_IN: Final = 100
 
 
 def is_sampled(request_id: str) -> bool:
-    """Return whether a request is one of the few that are always logged.
+    """Return whether a request is sampled for logging.
 
-    The id decides, so that every daemon on the way of a request logs it or none
-    does.
+    The decision depends only on the id, so that either every daemon that handles a
+    request logs it or none does.
 
     >>> is_sampled("award-1") == is_sampled("award-1")
     True
--- a/packages/pepperstair-core/pepperstair_core/calls/service_times.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/service_times.py
@@ -1,4 +1,4 @@
-"""How long calls take at one target, and until when a start makes sense."""
+"""Service times of one target and the latest useful starts that follow from them."""
 
 from __future__ import annotations
 
@@ -9,24 +9,25 @@
 
 FIRST_SERVICE_MS: Final = 10.0
 SERVICE_WEIGHT: Final = 0.1
-# As in the timeout of TCP (Jacobson 1988): the mean and some mean deviations.
+# Mean deviations added to the mean, as in the TCP retransmission timeout (Jacobson
+# 1988).
 N_DEVIATIONS: Final = 3
-# How many mean deviations longer than the mean a call is taken to last where its
-# answer is to be in time, and which share of the wanted time that may take up.
-# Under overload each call starts as late as is allowed: with the mean alone, about
-# half of the answers come too late.
+# Mean deviations added to a route's mean to estimate a call whose answer is to be in
+# time, and the share of the wanted time that the estimate may use. Under overload each
+# call starts as late as allowed: with the mean alone, about half of the answers come
+# too late.
 N_USEFUL_DEVIATIONS: Final = 1.0
 USEFUL_WORK_SHARE: Final = 0.7
-# A call that takes less than this share of what the longest ones of its target take
-# is a short one: in its place, not one of those could be served in time.
+# A call is short if it takes less than this share of the time of the target's longest
+# calls: in its place, none of those could be answered in time.
 SHORT_SHARE: Final = 0.25
-# What remains with each call of how long the longest ones take: half after 700.
+# Decay of the longest service time with each call: it is halved after 700 calls.
 LONGEST_KEPT_SHARE: Final = 0.999
 N_ROUTES_MAX: Final = 1_000
 
 
 class ServiceTimes:
-    """The times that calls held a slot, by priority and by route, in milliseconds.
+    """The times for which calls hold a slot, by priority and route, in milliseconds.
 
     >>> times = ServiceTimes()
     >>> times.record("normal", "map", 90.0)
@@ -43,7 +44,7 @@
         self._deviation_ms_by_route: dict[str, float] = {}
 
     def record(self, priority: str, route: str, service_ms: float) -> None:
-        """Take how long a call held its slot."""
+        """Record how long a call held its slot."""
         self.mean_ms += SERVICE_WEIGHT * (service_ms - self.mean_ms)
         change_ms = service_ms - self._mean_ms_of[priority]
         self._mean_ms_of[priority] += SERVICE_WEIGHT * change_ms
@@ -51,30 +52,29 @@
         self._deviation_ms_of[priority] += SERVICE_WEIGHT * (
             abs(change_ms) - deviation_ms
         )
-        self._see_route(route, service_ms)
+        self._record_route(route, service_ms)
 
     def is_short(self, call: WaitingCall) -> bool:
-        """Return whether a call takes a fraction of what others take."""
-        return self._usual_ms(call) < SHORT_SHARE * self.longest_ms
+        """Return whether a call takes a fraction of the time of the longest calls."""
+        return self._typical_ms(call) < SHORT_SHARE * self.longest_ms
 
     def latest_useful_start_ms(self, call: WaitingCall) -> float:
-        """Return until when a start most likely leads to an answer in time."""
-        service_ms = self._usual_ms(call)
+        """Return the latest start that probably gives an answer in the wanted time."""
+        service_ms = self._typical_ms(call)
         deviation_ms = self._deviation_ms_by_route.get(call.route, 0.0)
         longest_ms = service_ms + N_USEFUL_DEVIATIONS * deviation_ms
         allowed_ms = USEFUL_WORK_SHARE * (call.wanted_ms - call.arrived_ms)
         return call.wanted_ms - max(service_ms, min(longest_ms, allowed_ms))
 
     def latest_start_ms(self, call: WaitingCall) -> float:
-        """Return until when it makes sense to run the call.
-
-        Started later, it would be answered after its deadline, and its slot
-        lost to a call that is still wanted. Under overload every call runs as
-        late as this permits: with the mean alone, each one that takes longer
-        than the mean is work for nobody, and goodput falls as load rises. The
-        estimate is that of its own priority, as one target may serve bookings
-        and large files; it counts for at least a quarter and at most half of
-        the call's time.
+        """Return the latest start that gives an answer before the deadline.
+
+        If the call started later, it would be answered too late and would hold a slot
+        that another call still needs. Under overload every call starts as late as
+        allowed: with the mean alone, each call that takes longer than the mean would
+        be wasted work, and goodput would fall as load rises. The estimate is that of
+        the call's priority, as one target may serve bookings and large files. It is
+        limited to between a quarter and half of the call's total time.
         """
         total_ms = call.deadline_ms - call.arrived_ms
         estimate_ms = (
@@ -83,14 +83,14 @@
         )
         return call.deadline_ms - min(total_ms / 2, max(total_ms / 4, estimate_ms))
 
-    def _usual_ms(self, call: WaitingCall) -> float:
+    def _typical_ms(self, call: WaitingCall) -> float:
         fallback_ms = self._mean_ms_of[call.priority]
         return self._mean_ms_by_route.get(call.route, fallback_ms)
 
-    def _see_route(self, route: str, service_ms: float) -> None:
+    def _record_route(self, route: str, service_ms: float) -> None:
         known = self._mean_ms_by_route
         if len(known) >= N_ROUTES_MAX and route not in known:
-            # Routes come and go with each version; the mean is soon known again.
+            # Routes change with each version; the means are soon known again.
             known.clear()
             self._deviation_ms_by_route.clear()
         mean_ms = known.get(route, service_ms)
--- a/packages/pepperstair-core/pepperstair_core/calls/target_group.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_group.py
@@ -1,8 +1,8 @@
-"""The targets of one service, and what a choice among them needs to know of all.
+"""The targets of one service and statistics over all of them.
 
-A choice compares two targets. What it needs of the others (which are near, how
-quick the quickest one is) changes seldom beside the calls, so it is worked out for
-many choices at once.
+A choice compares two targets. What it needs to know about all of them (which are in
+the own zone, the latency of the fastest one) changes rarely compared with the rate of
+calls and is therefore cached.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 TargetKey = tuple[str, str]
 Candidates = tuple[Sequence["Endpoint"], Sequence["Endpoint"]]
 
-# For how long figures over all targets hold, in ms. What was seen of a target
-# counts half as much after 5 s, so that they are off by 4% at most by then.
-_NORMS_HOLD_MS: Final = 250.0
+# How long statistics are cached. Values of a target halve after 5 s, so cached
+# statistics are off by at most 4%.
+_STATISTICS_TTL_MS: Final = 250.0
 
 
-class Norms(Struct, frozen=True):
-    """What is usual among the targets of a service.
+class GroupStatistics(Struct, frozen=True):
+    """Statistics over the targets of a service.
 
-    `fastest_ms` is the latency of the quickest one, 0 if none is known;
-    `failure_rate` the mean share of calls that failed of late.
+    `fastest_ms` is the latency of the fastest target, 0 if none is known;
+    `failure_rate` is the mean share of recent calls that failed.
     """
 
     fastest_ms: float
@@ -37,12 +37,12 @@
 
 
 class TargetGroup:
-    """The targets among which calls of one service choose."""
+    """The targets among which the calls to one service are distributed."""
 
     __slots__ = (
         "_health",
-        "_norms",
-        "_norms_end_ms",
+        "_statistics",
+        "_statistics_expire_ms",
         "by_key",
         "endpoints",
         "far",
@@ -61,24 +61,25 @@
         self.near = tuple(item for item in endpoints if item.availability_zone == zone)
         self.far = tuple(item for item in endpoints if item.availability_zone != zone)
         self._health = [health_of[key] for key in self.by_key]
-        self._norms = Norms(0.0, 0.0)
-        self._norms_end_ms = float("-inf")
+        self._statistics = GroupStatistics(0.0, 0.0)
+        self._statistics_expire_ms = float("-inf")
 
-    def norms(self, now_ms: float) -> Norms:
-        """Return what is usual among the targets that are in use."""
-        if now_ms >= self._norms_end_ms:
-            self._norms = self._measure(now_ms)
-            self._norms_end_ms = now_ms + _NORMS_HOLD_MS
-        return self._norms
+    def statistics(self, now_ms: float) -> GroupStatistics:
+        """Return the cached statistics over the targets that are not ejected."""
+        if now_ms >= self._statistics_expire_ms:
+            self._statistics = self._compute_statistics(now_ms)
+            self._statistics_expire_ms = now_ms + _STATISTICS_TTL_MS
+        return self._statistics
 
-    def candidates(self, left_out: Sequence[Collection[TargetKey]]) -> Candidates:
-        """Return the near and the far targets without those of some sets of keys.
+    def candidates(self, excluded_sets: Sequence[Collection[TargetKey]]) -> Candidates:
+        """Return the targets of the own and of other zones without the excluded ones.
 
-        Sets come in order of weight: one that would leave no target is passed over.
+        The sets are applied in order of importance; a set that would leave no target
+        is skipped.
         """
         near: Sequence[Endpoint] = self.near
         far: Sequence[Endpoint] = self.far
-        for keys in left_out:
+        for keys in excluded_sets:
             if not keys:
                 continue
             fewer_near = [item for item in near if item.key not in keys]
@@ -87,17 +88,17 @@
                 near, far = fewer_near, fewer_far
         return near, far
 
-    def _measure(self, now_ms: float) -> Norms:
+    def _compute_statistics(self, now_ms: float) -> GroupStatistics:
         for health in self._health:
             health.seen_ms = now_ms
         used = [health for health in self._health if not health.is_ejected]
         latencies_ms = [health.latency_ms(now_ms) for health in used]
-        # What fails everywhere alike is no fault of one target.
+        # Failures common to all targets are not the fault of one of them.
         failure_rates = [health.failure_rate(now_ms) for health in used]
-        return Norms(
+        return GroupStatistics(
             min(filter(None, latencies_ms), default=0.0),
             sum(failure_rates) / max(1, len(failure_rates)),
         )
 
 
-__all__ = ["Candidates", "Norms", "TargetGroup", "TargetKey"]
+__all__ = ["Candidates", "GroupStatistics", "TargetGroup", "TargetKey"]
--- a/packages/pepperstair-core/pepperstair_core/calls/target_health.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_health.py
@@ -1,7 +1,7 @@
-"""What this daemon has seen of one target: load, errors, ejection, warmth.
+"""The health of one target as one daemon sees it: load, errors, ejection, slow start.
 
-A target's own word (announced state, health or load endpoints) is a hint: it
-may lag or be wrong. What decides here is how the calls of this daemon ended.
+What a target reports itself (announced state, health or load endpoints) is only a
+hint, as it may lag or be wrong. The outcome of this daemon's own calls decides.
 """
 
 from __future__ import annotations
@@ -16,18 +16,20 @@
 SLOW_START_MIN_SHARE: Final = 0.1
 LATENCY_WEIGHT: Final = 0.2
 LATENCY_HALF_LIFE_MS: Final = 5_000
-# Share that the newest outcome has in the failure rate: about the last ten calls.
+# Weight of the newest outcome in the failure rate, which covers about ten calls.
 FAILURE_WEIGHT: Final = 0.1
-# Fewer failures than this are left to the ejection of those that fail in a row.
+# With fewer failures the failure rate counts as 0: the ejection of targets whose calls
+# fail in a row handles these.
 N_FAILURES_MIN: Final = 8
-# Successes in a row after which earlier ejections no longer lengthen the next.
+# Successes since the last failure after which earlier ejections no longer lengthen
+# the next one.
 N_SUCCESSES_TO_FORGET: Final = 20
 
-_FORGOTTEN_RATE: Final = 0.01
+_NEGLIGIBLE_RATE: Final = 0.01
 
 
 class TargetHealth:
-    """The state of one target as seen from here."""
+    """The health of one target as this daemon sees it."""
 
     __slots__ = (
         "_failure_rate",
@@ -66,11 +68,11 @@
         self._n_failures = 0
         self._warm_since_ms = seen_ms if is_new else seen_ms - SLOW_START_MS
 
-    def warmth(self, is_cold: bool, now_ms: float) -> float:
-        """Return the share of its slots that a target is trusted with.
+    def slow_start_share(self, is_cold: bool, now_ms: float) -> float:
+        """Return the share of its slots that a target is given during its slow start.
 
-        A target that just started answers slowly; its full share at once would
-        queue calls behind its warm-up, which callers see as a latency spike.
+        A target that has just started answers slowly. With its full share at once,
+        calls would queue behind its warm-up, which callers see as a latency spike.
         """
         if is_cold:
             self._warm_since_ms = now_ms
@@ -79,18 +81,18 @@
         return min(1.0, max(SLOW_START_MIN_SHARE, share))
 
     def latency_ms(self, now_ms: float) -> float:
-        """Return how long the target's answers took of late, 0 if unknown.
+        """Return the recent latency of the target's answers, 0 if unknown.
 
-        What was seen counts half as much after each half-life: a target that
-        was slow gets few calls, and so has few chances to show that it is not.
+        The value halves with each half-life without an answer: a target that was slow
+        gets few calls and so has few chances to show that it has recovered.
         """
-        return _faded(self._latency_ms, now_ms - self._latency_seen_ms)
+        return _decayed(self._latency_ms, now_ms - self._latency_seen_ms)
 
     def oldest_age_ms(self, now_ms: float) -> float:
-        """Return for how long the oldest timed call has waited, times its weight.
+        """Return the age of the oldest timed call, multiplied by its weight.
 
-        A target that hangs gives no answer that could be timed. Without this
-        it would look as quick as ever until the first calls to it time out.
+        A target that hangs gives no answer that could be timed. Without the age of
+        its calls it would look as quick as before until the first of them time out.
         """
         if not self._starts:
             return 0.0
@@ -98,30 +100,30 @@
         return (now_ms - start_ms) * weight
 
     def failure_rate(self, now_ms: float) -> float:
-        """Return the share of calls that failed of late, less as time passes."""
+        """Return the share of recent calls that failed, which decays with time."""
         if self._n_failures < N_FAILURES_MIN:
             return 0.0
-        return _faded(self._failure_rate, now_ms - self._failure_seen_ms)
+        return _decayed(self._failure_rate, now_ms - self._failure_seen_ms)
 
     def begin(self, now_ms: float, weight: float) -> None:
-        """Take the start of a call.
+        """Record the start of a call.
 
-        `weight` turns its age into a latency that compares with those seen; 0
-        where its age says nothing of the target.
+        `weight` converts its age to a latency comparable to the recorded ones; it is
+        0 if the age says nothing about the target.
         """
         self.n_in_flight += 1
         if weight:
             self._starts.append((now_ms, weight))
 
     def record_answer(self, start_ms: float) -> None:
-        """Take the head of an answer, whose body may go on for long."""
+        """Stop timing a call whose answer head arrived; its body may take long."""
         for index, (started_ms, _) in enumerate(self._starts):
             if started_ms == start_ms:
                 del self._starts[index]
                 return
 
     def record_latency(self, latency_ms: float, now_ms: float) -> None:
-        """Take the time that an answer took."""
+        """Record the latency of an answer."""
         if self._latency_ms == 0.0:
             self._latency_ms = latency_ms
         else:
@@ -131,17 +133,17 @@
 
     @property
     def is_failed_probe(self) -> bool:
-        """Return whether the call that has just failed tried an ejected target."""
+        """Return whether the call that has just failed was a probe."""
         return self.is_ejected and self.is_probed
 
     def is_due_for_probe(self, now_ms: float) -> bool:
-        """Return whether one call may try whether an ejected target is back."""
+        """Return whether one call may probe the ejected target."""
         return (
             self.is_ejected and not self.is_probed and now_ms >= self.ejected_until_ms
         )
 
     def succeed(self, now_ms: float) -> None:
-        """Take a good answer: the target is back, or still there."""
+        """Record a good answer, which also ends an ejection."""
         self._record_outcome(0.0, now_ms)
         self.n_errors = 0
         self.is_ejected = False
@@ -151,13 +153,13 @@
             self.n_ejections = 0
 
     def fail(self, now_ms: float) -> None:
-        """Take an error that the target or its daemon caused."""
+        """Record an error caused by the target or its daemon."""
         self._record_outcome(1.0, now_ms)
         self.n_errors += 1
         self._n_successes = 0
 
     def forgive(self) -> None:
-        """End an ejection, as the target's VM has come back."""
+        """End an ejection because the target's VM is reachable again."""
         self.is_ejected = False
         self.is_probed = False
         self.n_errors = 0
@@ -165,33 +167,33 @@
         self.avoided_until_ms = 0.0
 
     def _record_outcome(self, failed: float, now_ms: float) -> None:
-        rate = _faded(self._failure_rate, now_ms - self._failure_seen_ms)
-        if rate < _FORGOTTEN_RATE:
+        rate = _decayed(self._failure_rate, now_ms - self._failure_seen_ms)
+        if rate < _NEGLIGIBLE_RATE:
             self._n_failures = 0
         self._n_failures += failed > 0.0
         self._failure_rate = rate + FAILURE_WEIGHT * (failed - rate)
         self._failure_seen_ms = now_ms
 
     def eject(self, now_ms: float, rng: Random) -> float:
-        """Leave the target out for a while and return for how long, in ms.
+        """Eject the target and return for how long, in milliseconds.
 
-        The time doubles with each ejection, and is jittered: daemons that saw
-        the same fault would else all probe the target in the same instant.
+        The period doubles with each ejection and is jittered: without jitter, all
+        daemons that saw the same fault would probe the target at the same moment.
         """
         period_ms = min(EJECTION_MAX_MS, EJECTION_BASE_MS * 2**self.n_ejections)
         period_ms *= 1 + EJECTION_JITTER * (2 * rng.random() - 1)
         self.n_ejections += 1
         self.is_ejected = True
         self.is_probed = False
-        # The ejection answers for them; back in use, the target starts anew.
+        # The ejection accounts for these failures; after it, counting starts again.
         self._failure_rate = 0.0
         self._n_failures = 0
         self.ejected_until_ms = now_ms + period_ms
         return period_ms
 
 
-def _faded(seen: float, age_ms: float) -> float:
-    """Return what something that was seen so long ago still counts for."""
+def _decayed(seen: float, age_ms: float) -> float:
+    """Return a value decayed by its age."""
     return seen * 0.5 ** (age_ms / LATENCY_HALF_LIFE_MS)
 
 
