--- a/tests/call_load.py
+++ b/tests/call_load.py
@@ -62,7 +62,7 @@
     wait_ms: Counter = field(default_factory=Counter)
     n_answers: Counter = field(default_factory=Counter)
     n_runs: Counter = field(default_factory=Counter)
-    told_not_run: set = field(default_factory=set)
+    answered_not_run: set = field(default_factory=set)
     n_retries: int = 0
     latencies_ms: dict = field(default_factory=dict)
 
@@ -226,7 +226,7 @@
     def _answer(self, call, run, is_good):
         self.report.n_answers[call.call_id] += 1
         if run is Run.NO:
-            self.report.told_not_run.add(call.call_id)
+            self.report.answered_not_run.add(call.call_id)
         if is_good:
             self.report.n_good[call.priority] += 1
             latency_ms = self.now_ms - call.at_ms
--- a/tests/test_admission_in_time.py
+++ b/tests/test_admission_in_time.py
@@ -136,7 +136,7 @@
     refused_after_ms: list[float] = field(default_factory=list)
 
 
-def play(load: float, wanted_ms: float, seed: int) -> Served:
+def simulate(load: float, wanted_ms: float, seed: int) -> Served:
     """Put a load on one target and return what its callers got."""
     rng = Random(seed)
     n_slots = 12
@@ -174,8 +174,8 @@
     With a queue up to the deadlines the target does the same work, and nearly
     every answer comes when it is hardly wanted; the refused ones wait for long.
     """
-    held = play(1.5, WANTED_MS, seed)
-    naive = play(1.5, math.inf, seed)
+    held = simulate(1.5, WANTED_MS, seed)
+    naive = simulate(1.5, math.inf, seed)
     assert held.n_in_time > 2 * naive.n_in_time
     assert held.n_in_time + held.n_late > 0.9 * (naive.n_in_time + naive.n_late)
     n_at_once = sum(after_ms < WANTED_MS / 8 for after_ms in held.refused_after_ms)
@@ -189,13 +189,13 @@
     just after their answer was wanted.
     """
     seeds = range(6)
-    n_allowed = sum(play(1.4, WANTED_MS, seed).n_in_time for seed in seeds)
+    n_allowed = sum(simulate(1.4, WANTED_MS, seed).n_in_time for seed in seeds)
     monkeypatch.setattr(service_times, "N_USEFUL_DEVIATIONS", 0.0)
-    n_by_mean = sum(play(1.4, WANTED_MS, seed).n_in_time for seed in seeds)
+    n_by_mean = sum(simulate(1.4, WANTED_MS, seed).n_in_time for seed in seeds)
     assert n_allowed > 1.01 * n_by_mean
 
 
-def play_short_and_long(load: float, seed: int) -> tuple[float, float]:
+def simulate_short_and_long(load: float, seed: int) -> tuple[float, float]:
     """Return the refused share of short calls and the answered share of long ones.
 
     Calls of 40 ms, which other requests wait for, and of 420 ms come to one target
@@ -252,17 +252,17 @@
     Refused for being late they fail the registration, which has run by then and must
     not run again, and their slots would have served one pull more in ten.
     """
-    played = [play_short_and_long(load, seed) for seed in range(3)]
+    simulated = [simulate_short_and_long(load, seed) for seed in range(3)]
     monkeypatch.setattr(service_times, "SHORT_SHARE", 0.0)
-    without = [play_short_and_long(load, seed) for seed in range(3)]
-    n_refused = sum(refused for refused, _ in played) / 3
+    without = [simulate_short_and_long(load, seed) for seed in range(3)]
+    n_refused = sum(refused for refused, _ in simulated) / 3
     n_refused_without = sum(refused for refused, _ in without) / 3
     assert n_refused < 0.05
     assert n_refused < 0.2 * n_refused_without
-    assert sum(kept for _, kept in played) > 0.9 * sum(kept for _, kept in without)
+    assert sum(kept for _, kept in simulated) > 0.9 * sum(kept for _, kept in without)
 
 
 def test_load_that_fits_is_served_whole():
-    served = play(0.7, WANTED_MS, 1)
+    served = simulate(0.7, WANTED_MS, 1)
     n_served = served.n_in_time + served.n_late
     assert len(served.refused_after_ms) <= 0.02 * n_served
--- a/tests/test_choice_of_better.py
+++ b/tests/test_choice_of_better.py
@@ -137,7 +137,9 @@
     assert among[0] not in chosen
 
 
-def play_failing_service(failure_rate: float, seed: int, n_calls: int = 2_000) -> int:
+def simulate_failing_service(
+    failure_rate: float, seed: int, n_calls: int = 2_000
+) -> int:
     """Return how many ejections follow from targets that all fail alike."""
     rng = Random(seed)
     among = [endpoint(index) for index in range(4)]
@@ -159,7 +161,7 @@
     Each target soon has five errors in a row. With one after the other ejected, the
     rest has more calls than slots and refuses those that would have been answered.
     """
-    assert play_failing_service(0.6, seed) <= 5
+    assert simulate_failing_service(0.6, seed) <= 5
 
 
 def test_target_that_fails_alone_is_ejected_after_a_few_errors():
--- a/tests/test_choice_zones.py
+++ b/tests/test_choice_zones.py
@@ -29,7 +29,7 @@
     places = [zone for zone in ZONES for _ in range(N_TARGETS_OF_ZONE)]
     targets = tuple(endpoint(i, zone, N_SLOTS) for i, zone in enumerate(places))
     choosers = {zone: TargetChooser(own_zone_of(zone), rng) for zone in ZONES}
-    told = {zone: {} for zone in ZONES}
+    reported = {zone: {} for zone in ZONES}
     running = Counter()
     n_per_ms = load * N_SLOTS * len(targets) / MEAN_SERVICE_MS
     ends, counts, now_ms = [], Counter(), 0.0
@@ -38,13 +38,13 @@
         while ends and ends[0][0] <= now_ms:
             end_ms, _, zone, chosen, start_ms = heapq.heappop(ends)
             running[chosen.key] -= 1
-            told[zone][chosen.key] = Load(running[chosen.key], 0)
+            reported[zone][chosen.key] = Load(running[chosen.key], 0)
             end = CallEnd(EndKind.GOOD, start_ms, end_ms - start_ms)
             choosers[zone].end(chosen, targets, end, end_ms)
         zone = rng.choice(ZONES)
         chosen = choosers[zone].choose(
             targets,
-            lambda item, zone=zone: told[zone].get(item.key),
+            lambda item, zone=zone: reported[zone].get(item.key),
             now_ms,
             n_answer_bytes=DOWNLOAD_BYTES,
         )
@@ -110,7 +110,7 @@
     assert chosen_where_all_are_full(2 * N_SLOTS, N_SLOTS // 2) == "b"
 
 
-def play_unequal_speeds(objective_ms: float, seed: int) -> tuple[float, float]:
+def simulate_unequal_speeds(objective_ms: float, seed: int) -> tuple[float, float]:
     """Return the shares that cross zones and that are answered in time.
 
     Each zone has one target, and their speeds differ by more than a factor of two.
@@ -120,7 +120,7 @@
     speeds = {"a": 0.7, "b": 0.7, "c": 1.6}
     targets = tuple(endpoint(i, zone, N_SLOTS) for i, zone in enumerate(ZONES))
     choosers = {zone: TargetChooser(zone, rng) for zone in ZONES}
-    told = {zone: {} for zone in ZONES}
+    reported = {zone: {} for zone in ZONES}
     free_ms = {item.key: [0.0] * N_SLOTS for item in targets}
     ends, n_calls, n_crossed, n_in_time, now_ms = [], 0, 0, 0, 0.0
     while now_ms < UNTIL_MS / 3:
@@ -128,13 +128,13 @@
         while ends and ends[0][0] <= now_ms:
             end_ms, _, zone, chosen, start_ms, running = heapq.heappop(ends)
             running[0] -= 1
-            told[zone][chosen.key] = Load(running[0], 0)
+            reported[zone][chosen.key] = Load(running[0], 0)
             end = CallEnd(EndKind.GOOD, start_ms, end_ms - start_ms, route="r")
             choosers[zone].end(chosen, targets, end, end_ms)
         zone = rng.choice(ZONES)
         chosen = choosers[zone].choose(
             targets,
-            lambda item, zone=zone: told[zone].get(item.key),
+            lambda item, zone=zone: reported[zone].get(item.key),
             now_ms,
             route="r",
             objective_ms=objective_ms,
@@ -146,7 +146,7 @@
         work_ms = rng.lognormvariate(4.8, 0.5) / speeds[chosen.availability_zone]
         heapq.heappush(slots, start_ms + work_ms)
         n_in_time += start_ms + work_ms - now_ms <= 450.0
-        running = told.setdefault("running", {}).setdefault(chosen.key, [0])
+        running = reported.setdefault("running", {}).setdefault(chosen.key, [0])
         running[0] += 1
         heapq.heappush(
             ends, (start_ms + work_ms, n_calls, zone, chosen, now_ms, running)
@@ -161,7 +161,7 @@
     Left at a third of its slots, it would stand idle while every second call
     crosses zones and the quick instance fills up.
     """
-    crossed, in_time = play_unequal_speeds(450.0, seed)
-    crossed_without, in_time_without = play_unequal_speeds(0.0, seed)
+    crossed, in_time = simulate_unequal_speeds(450.0, seed)
+    crossed_without, in_time_without = simulate_unequal_speeds(0.0, seed)
     assert crossed < 0.7 * crossed_without
     assert in_time > in_time_without - 0.01
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -98,7 +98,7 @@
 
 def test_records_merge_to_the_same_in_any_order():
     """Guards against daemons that disagree for good on what they were told."""
-    told = [
+    received = [
         CrashRecord(POISON, ("a/1",)),
         CrashRecord(POISON, ("b/1", "a/1")),
         CrashRecord(POISON, ("c/1",)),
@@ -106,11 +106,11 @@
         CrashRecord(b"other", ("b/1",), ("b/1",)),
     ]
     results = set()
-    for order in itertools.permutations(told):
+    for order in itertools.permutations(received):
         quarantine = Quarantine()
-        for suspicion in order:
-            quarantine.merge(suspicion, 0)
-            assert not quarantine.merge(suspicion, 0)
+        for record in order:
+            quarantine.merge(record, 0)
+            assert not quarantine.merge(record, 0)
         results.add(tuple(sorted(quarantine.records(), key=lambda s: s.fingerprint)))
         assert quarantine.standing(POISON, 0) is Standing.QUARANTINED
     assert len(results) == 1
--- a/tests/test_quarantine_differential.py
+++ b/tests/test_quarantine_differential.py
@@ -48,13 +48,13 @@
         return Standing.TRUSTED
 
 
-def tell(sender, receiver):
+def send_records(sender, receiver):
     """Let one daemon tell another all that it knows."""
     for record in sender.records():
         receiver.merge(record, 0)
 
 
-def play(history):
+def simulate(history):
     """Return the daemons after a history, and the naive fleet beside them."""
     fleet = [Quarantine() for _ in range(N_DAEMONS)]
     naive = NaiveFleet()
@@ -67,7 +67,7 @@
             if record is not None:
                 naive.take(record)
         else:
-            tell(fleet[daemon], fleet[what])
+            send_records(fleet[daemon], fleet[what])
     return fleet, naive
 
 
@@ -75,11 +75,11 @@
 @given(histories)
 def test_daemons_agree_with_one_that_knows_all_once_they_have_talked(history):
     """Guards against daemons that lose a crash, or keep one that was cleared."""
-    fleet, naive = play(history)
+    fleet, naive = simulate(history)
     for _ in range(2):
         for sender in fleet:
             for receiver in fleet:
-                tell(sender, receiver)
+                send_records(sender, receiver)
     for quarantine in fleet:
         found = [quarantine.standing(request, 0) for request in REQUESTS]
         assert found == [naive.standing(request) for request in REQUESTS]
@@ -89,10 +89,10 @@
 @given(histories, st.lists(daemons, min_size=N_CRASHES_MAX, max_size=8))
 def test_poison_is_found_whatever_happened_before(history, places):
     """Guards against a poison request that hides behind earlier crashes."""
-    fleet, _ = play(history)
+    fleet, _ = simulate(history)
     for index, daemon in enumerate(places):
         fleet[daemon].record_crash([POISON], f"p{index}", 0)
         for receiver in fleet:
-            tell(fleet[daemon], receiver)
+            send_records(fleet[daemon], receiver)
     standings = {quarantine.standing(POISON, 0) for quarantine in fleet}
     assert standings == {Standing.QUARANTINED}
--- a/tests/test_returning_callers.py
+++ b/tests/test_returning_callers.py
@@ -21,7 +21,7 @@
 N_RETRIES = 2
 
 
-def play(
+def simulate(
     accepted_share: float, return_ms_of: Callable[[AcceptanceRates], float]
 ) -> float:
     """Return the share of callers whose answer came in time.
@@ -52,8 +52,8 @@
     Callers told to come back in a second get their answers late, though the next try
     would often have been taken at once.
     """
-    soon = play(accepted_share, lambda acceptance: acceptance.retry_after_ms("s"))
-    in_a_second = play(accepted_share, lambda acceptance: 1_000.0)
+    soon = simulate(accepted_share, lambda acceptance: acceptance.retry_after_ms("s"))
+    in_a_second = simulate(accepted_share, lambda acceptance: 1_000.0)
     assert in_a_second < 1.1 * accepted_share
     assert soon > 0.9 * (1 - (1 - accepted_share) ** (1 + N_RETRIES))
 
--- a/tests/test_splits.py
+++ b/tests/test_splits.py
@@ -52,13 +52,13 @@
 
 
 def test_caller_that_comes_back_is_told_from_a_new_one():
-    patience = CallerTimeouts()
+    timeouts = CallerTimeouts()
     rng = Random(2)
     for _ in range(200):
-        patience.waited_ms("r", 800 if rng.random() < 0.7 else 530)
-    assert patience.waited_ms("r", 799) == 0
-    assert 200 < patience.waited_ms("r", 530) < 300
-    assert patience.waited_ms("r", 0) == 0
+        timeouts.waited_ms("r", 800 if rng.random() < 0.7 else 530)
+    assert timeouts.waited_ms("r", 799) == 0
+    assert 200 < timeouts.waited_ms("r", 530) < 300
+    assert timeouts.waited_ms("r", 0) == 0
 
 
 def test_size_of_answers_follows_what_is_seen():
