--- a/tests/call_load.py
+++ b/tests/call_load.py
@@ -1,4 +1,4 @@
-"""A tiny discrete-event loop that puts a generated load on call decisions."""
+"""A small discrete-event simulation that runs generated calls through decisions."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Decisions:
-    """What is compared: the chosen decisions, or naive ones in their place."""
+    """The decisions under test, or naive replacements."""
 
     chooser: Any = TargetChooser
     admission: Any = Admission
@@ -56,7 +56,7 @@
 
 @dataclass
 class Report:
-    """What became of the calls of one run."""
+    """The results of the calls of one simulation."""
 
     n_good: Counter = field(default_factory=Counter)
     wait_ms: Counter = field(default_factory=Counter)
@@ -76,7 +76,7 @@
 def poisson_calls(
     rng: Random, n_per_s: float, until_ms: float, make: Callable[[int, float], Call]
 ) -> list[Call]:
-    """Return calls that arrive independently of each other."""
+    """Return calls whose arrivals are a Poisson process."""
     calls, at_ms = [], 0.0
     while (at_ms := at_ms + rng.expovariate(n_per_s / 1000)) < until_ms:
         calls.append(make(len(calls), at_ms))
@@ -84,21 +84,21 @@
 
 
 def merge_calls(*streams: list[Call]) -> list[Call]:
-    """Return several streams of calls as one, numbered anew."""
+    """Return several streams of calls as one, renumbered."""
     ordered = sorted(itertools.chain(*streams), key=lambda call: call.at_ms)
     return [replace(call, call_id=index) for index, call in enumerate(ordered)]
 
 
 @dataclass(frozen=True)
 class Faults:
-    """What goes wrong: slowness by target, and errors by target and time."""
+    """The injected faults: slowness by target, and errors by target and time."""
 
     slowness: Callable[[int], float] = lambda index: 1.0
     error: Callable[[int, float], ErrorKind | None] = lambda index, now_ms: None
 
 
 class Simulation:
-    """One daemon that sends calls to targets, with everything in virtual time."""
+    """One daemon that sends calls to targets, in virtual time."""
 
     def __init__(self, decisions: Decisions, n_targets: int, faults: Faults, seed=0):
         self.rng = Random(seed)
@@ -116,19 +116,19 @@
         self._tickets, self._ticket_ids = {}, itertools.count()
 
     def run(self, calls: Iterable[Call]) -> Report:
-        """Run every call to its answer."""
+        """Run all calls until each has its answer, and return the results."""
         for call in calls:
-            self._at(call.at_ms, lambda call=call: self._begin(call))
+            self._schedule(call.at_ms, lambda call=call: self._begin(call))
         last_ms = max(event[0] for event in self._events)
         for index in range(int(last_ms / REPORT_MS) + 1):
-            self._at(index * REPORT_MS, self._publish_loads)
+            self._schedule(index * REPORT_MS, self._publish_loads)
         while self._events:
-            self.now_ms, _, act = heapq.heappop(self._events)
-            act()
+            self.now_ms, _, action = heapq.heappop(self._events)
+            action()
         return self.report
 
-    def _at(self, at_ms, act):
-        heapq.heappush(self._events, (at_ms, next(self._order), act))
+    def _schedule(self, at_ms, action):
+        heapq.heappush(self._events, (at_ms, next(self._order), action))
 
     def _publish_loads(self):
         self.loads = [Load(a.n_in_flight, a.n_queued) for a in self.admissions]
@@ -173,7 +173,7 @@
         expiry_ms = getattr(admission, "next_expiry_ms", None)
         if expiry_ms is not None:
             at_ms = max(self.now_ms, expiry_ms)
-            self._at(at_ms, lambda: self._expire(admission))
+            self._schedule(at_ms, lambda: self._expire(admission))
 
     def _expire(self, admission):
         if verdicts := admission.expire(self.now_ms):
@@ -197,7 +197,7 @@
                 self._answer(call, Run.YES, is_good)
             self._apply(admission, verdicts)
 
-        self._at(self.now_ms + service_ms, end)
+        self._schedule(self.now_ms + service_ms, end)
 
     def _end(self, ticket, kind, service_ms=0.0, retry_after_ms=0):
         call, n_attempts, excluded, run, start_ms, index = self._tickets.pop(ticket)
@@ -220,8 +220,8 @@
             self._answer(call, attempt.has_run, is_good=False)
             return
         self.report.n_retries += 1
-        act = lambda: self._attempt(call, n_attempts + 1, excluded, attempt.has_run)
-        self._at(self.now_ms + decision.delay_ms, act)
+        action = lambda: self._attempt(call, n_attempts + 1, excluded, attempt.has_run)
+        self._schedule(self.now_ms + decision.delay_ms, action)
 
     def _answer(self, call, run, is_good):
         self.report.n_answers[call.call_id] += 1
--- a/tests/naive/calls.py
+++ b/tests/naive/calls.py
@@ -1,4 +1,4 @@
-"""Naive ways to carry calls: random target, endless queue, blind retries."""
+"""Naive call decisions: random target, unbounded queue, blind retries."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class RandomChooser:
-    """Takes any target, whatever was seen of it."""
+    """Chooses a random target, independent of earlier calls."""
 
     def __init__(self, availability_zone: str, rng: Random) -> None:
         self._rng = rng
 
     def choose(self, endpoints, load_of, now_ms, excluded=(), *, is_urgent=False):
-        """Return any endpoint."""
+        """Return a random endpoint."""
         return self._rng.choice(endpoints)
 
     def end(self, endpoint, endpoints, end, now_ms):
-        """Learn nothing."""
+        """Ignore the end of a call."""
 
 
 class UnboundedQueue:
-    """Lets every call wait in the order of arrival, for however long."""
+    """Queues every call in the order of arrival, without a limit."""
 
     def __init__(self, n_slots: int) -> None:
         self.n_slots = n_slots
@@ -35,16 +35,16 @@
 
     @property
     def n_queued(self):
-        """Return how many calls wait."""
+        """Return the number of waiting calls."""
         return len(self._waiting)
 
     def arrive(self, call, now_ms):
-        """Take a call."""
+        """Queue a call."""
         self._waiting.append(call)
         return self._grant()
 
     def finish(self, customer, priority, service_ms, now_ms):
-        """Take the end of a call."""
+        """Free the slot of a call that ended."""
         self.n_in_flight -= 1
         return self._grant()
 
@@ -57,7 +57,7 @@
 
 
 def retry_blindly(attempt: Attempt, budget: RetryBudget, rng: Random):
-    """Send again at once, three times, whatever happened."""
+    """Retry at once, up to three times, after any failure."""
     if attempt.n_attempts > N_BLIND_RETRIES:
         return GiveUp(GiveUpCause.ATTEMPTS)
     return Retry(0.0)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission beside a target and the decision to retry."""
+"""Tests of admission at a target and of retry decisions."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     return WaitingCall(ticket, customer, priority, 0.0, deadline_ms, n_queued_max)
 
 
-def full(*waiting: WaitingCall) -> Admission:
-    """Return one slot that is taken, with calls that wait."""
+def full_admission(*waiting: WaitingCall) -> Admission:
+    """Return an admission whose only slot is taken, with some waiting calls."""
     admission = Admission(1)
     for item in (call(0), *waiting):
         admission.arrive(item, 0.0)
@@ -38,10 +38,10 @@
 def test_urgent_call_displaces_the_newest_of_the_least_urgent():
     """A booking arrives while the queue is full of archive browsing.
 
-    The displaced call did not run, and is told so in that instant.
+    The displaced call did not run and is refused at once.
     """
     waiting = [call(1, priority="deferrable"), call(2, priority="deferrable")]
-    admission = full(*waiting)
+    admission = full_admission(*waiting)
     (refused,) = admission.arrive(call(3, priority="urgent"), 0.0)
     assert (refused.ticket, refused.cause) == (2, RefusalCause.DISPLACED)
     assert refused.retry_after_ms > 0
@@ -49,8 +49,8 @@
 
 
 def test_small_customer_gets_a_place_in_a_queue_that_a_large_one_filled():
-    """One customer fills the whole queue; another one's first call arrives."""
-    admission = full(call(1), call(2))
+    """One customer fills the whole queue; the first call of another one arrives."""
+    admission = full_admission(call(1), call(2))
     (refused,) = admission.arrive(call(3, customer="b"), 0.0)
     assert (refused.ticket, refused.cause) == (2, RefusalCause.OVER_SHARE)
     (refused,) = admission.arrive(call(4), 0.0)
@@ -58,11 +58,11 @@
 
 
 def test_call_that_cannot_be_answered_in_time_is_refused_in_that_instant():
-    """The deadline of a call would pass while it waits.
+    """Guards against queueing a call whose deadline passes while it waits.
 
-    Kept in the queue, it would be run for a caller that has given up.
+    It would be run for a caller that has given up.
     """
-    admission = full()
+    admission = full_admission()
     (refused,) = admission.arrive(call(1, deadline_ms=15), 0.0)
     assert refused.cause is RefusalCause.TOO_LATE
     assert admission.arrive(call(2, deadline_ms=40), 0.0) == []
@@ -75,8 +75,8 @@
 def test_long_downloads_do_not_make_bookings_look_late():
     """A target serves large files and bookings in the same slots.
 
-    With one estimate for both, every booking that has to wait would be refused
-    as too late, though it takes no time itself.
+    With one service time estimate for both, every booking that has to wait would be
+    refused as too late, although it takes almost no time itself.
     """
     admission = Admission(12)
     admission.n_in_flight = 112
@@ -87,11 +87,11 @@
 
 
 def test_old_deferrable_call_runs_beside_urgent_ones():
-    """Urgent calls keep every slot busy for minutes.
+    """Guards against starvation: urgent calls keep every slot busy for minutes.
 
-    By priority alone, archive browsing would never come to its turn.
+    By priority alone, archive browsing would never run.
     """
-    admission = full(call(1, priority="deferrable", deadline_ms=1e9))
+    admission = full_admission(call(1, priority="deferrable", deadline_ms=1e9))
     admitted = []
     for ticket in range(2, 30):
         urgent = call(ticket, priority="urgent", deadline_ms=1e9)
@@ -101,7 +101,7 @@
 
 
 def test_drained_and_withdrawn_calls_leave_the_queue():
-    admission = full(call(1), call(2))
+    admission = full_admission(call(1), call(2))
     admission.withdraw(1)
     (refused,) = admission.drain()
     assert (refused.ticket, refused.cause) == (2, RefusalCause.DRAINING)
@@ -147,16 +147,16 @@
         (attempt(ErrorKind.TARGET_FAILED, is_idempotent=True), None),
     ],
 )
-def test_only_what_cannot_run_twice_is_sent_again(failed, cause):
+def test_only_calls_that_cannot_run_twice_are_retried(failed, cause):
     decision = decide_retry(failed, TokenRetryBudget(), Random(1))
     assert isinstance(decision, Retry) if cause is None else decision == GiveUp(cause)
 
 
 def test_refusal_after_a_lost_answer_does_not_say_not_run():
-    """The first attempt's answer is lost and the second one is refused.
+    """The first attempt's answer is lost and the second attempt is refused.
 
-    Told `no`, the caller would send a request again that may have run. Seen as
-    a failure of the differential test of retries before attempts were added up.
+    If only the last attempt counted, the caller would be told `no` and would repeat a
+    request that may have run. The differential test of retries showed this fault.
     """
     failed = attempt(ErrorKind.OVERLOADED, earlier_run=Run.UNKNOWN)
     assert failed.has_run is Run.UNKNOWN
--- a/tests/test_admission_in_time.py
+++ b/tests/test_admission_in_time.py
@@ -1,4 +1,4 @@
-"""Admission under more calls than slots: answers in time, and early refusals."""
+"""Tests of admission under overload: answers in time and early refusals."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
     )
 
 
-def busy(n_slots: int = 1, service_ms: float = WORK_MS) -> Admission:
-    """Return slots that are all taken, with the time that calls take learnt."""
+def busy_admission(n_slots: int = 1, service_ms: float = WORK_MS) -> Admission:
+    """Return an admission with all slots taken and a known service time."""
     admission = Admission(n_slots)
     for _ in range(60):
         admission.arrive(call(0), 0.0)
@@ -52,29 +52,29 @@
     return admission
 
 
-def test_call_that_can_not_be_in_time_is_refused_on_arrival():
-    """More calls come than fit; the queue is as long as answers are wanted.
+def test_call_that_cannot_be_in_time_is_refused_on_arrival():
+    """Under overload, the queue is as long as answers can still be in time.
 
-    Let in up to its deadline, the call would be served late, and so would every
-    one after it for as long as the load lasts.
+    If the call were queued up to its deadline, it and all later calls would be answered
+    late for as long as the overload lasts.
     """
-    admission = busy()
+    admission = busy_admission()
     verdicts = [admission.arrive(call(ticket), 0.0) for ticket in range(1, 5)]
     assert verdicts[:2] == [[], []]
     assert [each[0].cause for each in verdicts[2:]] == [RefusalCause.NOT_IN_TIME] * 2
 
 
 def test_call_that_is_wanted_sooner_goes_first():
-    """A look-up that another request waits for arrives behind archive browsing."""
-    admission = busy()
+    """A look-up that another request waits for arrives after archive browsing."""
+    admission = busy_admission()
     admission.arrive(call(1, wanted_ms=1000, deadline_ms=2500), 0.0)
     admission.arrive(call(2, wanted_ms=200), 1.0)
     assert admission.finish("c", "normal", WORK_MS, 2.0, "r") == [Admitted(2)]
 
 
-def test_caller_that_comes_back_late_waits_behind_those_in_time():
-    """A caller was refused, came back, and can't be in time any more."""
-    admission = busy()
+def test_returning_caller_that_is_late_waits_behind_those_in_time():
+    """A refused caller retries when its answer can no longer be in time."""
+    admission = busy_admission()
     admission.arrive(call(1, wanted_ms=0), 0.0)
     admission.arrive(call(2), 1.0)
     assert admission.finish("c", "normal", WORK_MS, 2.0, "r") == [Admitted(2)]
@@ -82,8 +82,8 @@
 
 
 def test_last_waiting_call_keeps_its_place_when_it_becomes_late():
-    """A short burst is over; the one call that waits has just become late."""
-    admission = busy()
+    """After a short burst, the only waiting call has just become late."""
+    admission = busy_admission()
     admission.arrive(call(1), 0.0)
     late_ms = admission.next_expiry_ms
     assert admission.expire(late_ms) == []
@@ -93,12 +93,12 @@
     assert admission.next_expiry_ms is None
 
 
-def test_overload_that_lasts_sends_callers_away_for_longer():
+def test_retry_time_grows_with_the_length_of_an_overload():
     """Calls have been refused for two seconds.
 
-    Told to come back within some milliseconds, callers would be refused again.
+    Callers that retry after some milliseconds would be refused again.
     """
-    admission = busy()
+    admission = busy_admission()
     admission.arrive(call(1), 0.0)
     admission.arrive(call(2), 0.0)
     (first,) = admission.arrive(call(3), 0.0)
@@ -112,13 +112,13 @@
     assert verdicts[-1].retry_after_ms >= 1500
 
 
-def test_look_up_that_others_wait_for_is_not_refused_for_being_late():
-    """Long archive calls hold every slot, and look-ups of other services come.
+def test_look_up_is_not_refused_as_late_while_less_urgent_calls_arrive():
+    """Long archive calls hold every slot, and look-ups of other services arrive.
 
-    Refused after their wanted time, they would fail the pages that need them,
+    Refusing the look-ups after their wanted time would fail the pages that need them,
     while the archive calls behind them get the slots.
     """
-    admission = busy(service_ms=600.0)
+    admission = busy_admission(service_ms=600.0)
     archive = {"priority": "deferrable", "wanted_ms": 2500, "deadline_ms": 8000}
     admission.arrive(call(1, **archive), 0.0)
     look_up = call(2, wanted_ms=100, deadline_ms=2500, route="look-up")
@@ -129,7 +129,7 @@
 
 @dataclass
 class Served:
-    """What the callers of one run got."""
+    """The results for the callers of one simulation."""
 
     n_in_time: int = 0
     n_late: int = 0
@@ -137,7 +137,7 @@
 
 
 def simulate(load: float, wanted_ms: float, seed: int) -> Served:
-    """Put a load on one target and return what its callers got."""
+    """Simulate a load on one target and return the results of its callers."""
     rng = Random(seed)
     n_slots = 12
     admission = Admission(n_slots)
@@ -169,10 +169,10 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_overload_leaves_most_answers_in_time(seed):
-    """One and a half times as many calls come as one target can run.
+    """The load is one and a half times the capacity of the target.
 
-    With a queue up to the deadlines the target does the same work, and nearly
-    every answer comes when it is hardly wanted; the refused ones wait for long.
+    With a queue up to the deadlines, the target does the same work, but nearly every
+    answer is late and refused calls have waited for a long time.
     """
     held = simulate(1.5, WANTED_MS, seed)
     naive = simulate(1.5, math.inf, seed)
@@ -182,11 +182,11 @@
     assert n_at_once > 0.7 * len(held.refused_after_ms)
 
 
-def test_spread_of_work_is_allowed_for_when_an_answer_is_to_be_in_time(monkeypatch):
-    """More calls come than fit, and some take a few times as long as others.
+def test_latest_useful_start_allows_for_the_spread_of_service_times(monkeypatch):
+    """Under overload, some calls take several times as long as others.
 
-    Each starts as late as is allowed. Taken to last the mean, half of them would end
-    just after their answer was wanted.
+    Each call starts as late as allowed. With an estimate of just the mean, half of the
+    calls would end shortly after their wanted time.
     """
     seeds = range(6)
     n_allowed = sum(simulate(1.4, WANTED_MS, seed).n_in_time for seed in seeds)
@@ -198,8 +198,8 @@
 def simulate_short_and_long(load: float, seed: int) -> tuple[float, float]:
     """Return the refused share of short calls and the answered share of long ones.
 
-    Calls of 40 ms, which other requests wait for, and of 420 ms come to one target
-    with the same priority; the long ones are wanted within 1,200 ms.
+    One target gets calls of 40 ms, which other requests wait for, and of 420 ms with
+    the same priority; the long ones are wanted within 1,200 ms.
     """
     rng, n_slots = Random(seed), 9
     admission = Admission(n_slots)
@@ -240,17 +240,17 @@
 
 
 def arrival(index: int, at_ms: float, kind: int) -> Call:
-    """Return a call of one of two kinds that is yet to be put to the target."""
+    """Return an arrival of a call of one of two kinds."""
     return Call(index, at_ms, "c", "normal", kind, 0.0)
 
 
 @pytest.mark.parametrize("load", [0.9, 1.1, 1.4])
 def test_short_call_is_not_refused_for_the_sake_of_long_ones(load, monkeypatch):
-    """Court dates of 40 ms are read for registrations, from instances that also carry
-    long pulls, with the same priority.
+    """Registrations look up court dates, calls of 40 ms, at instances that also serve
+    long downloads with the same priority.
 
-    Refused for being late they fail the registration, which has run by then and must
-    not run again, and their slots would have served one pull more in ten.
+    A look-up that is refused as late fails its registration, which has run by then and
+    must not run again; the freed slots would serve one more download in ten.
     """
     simulated = [simulate_short_and_long(load, seed) for seed in range(3)]
     monkeypatch.setattr(service_times, "SHORT_SHARE", 0.0)
@@ -262,7 +262,7 @@
     assert sum(kept for _, kept in simulated) > 0.9 * sum(kept for _, kept in without)
 
 
-def test_load_that_fits_is_served_whole():
+def test_load_below_capacity_is_hardly_refused():
     served = simulate(0.7, WANTED_MS, 1)
     n_served = served.n_in_time + served.n_late
     assert len(served.refused_after_ms) <= 0.02 * n_served
--- a/tests/test_choice_zones.py
+++ b/tests/test_choice_zones.py
@@ -1,4 +1,4 @@
-"""Bytes between availability zones, with a choice that knows zones and without."""
+"""Tests of cross-zone traffic, with and without a zone-aware target choice."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 def share_between_zones(load: float, own_zone_of, seed: int) -> float:
-    """Return the share of downloads that cross zones at a share of all slots.
+    """Return the share of downloads that cross zones, at a load relative to all slots.
 
-    One daemon in each zone chooses among the targets of all; loads are those that
-    came with the last answer, as they are between daemons.
+    One daemon in each zone chooses among the targets of all zones. It knows the load
+    reported with the last answer of each target, as real daemons do.
     """
     rng = Random(seed)
     places = [zone for zone in ZONES for _ in range(N_TARGETS_OF_ZONE)]
@@ -59,10 +59,10 @@
 
 @pytest.mark.parametrize("load", [0.3, 0.6])
 def test_downloads_cross_zones_a_quarter_as_often_as_without_zones(load):
-    """Map packs of 90 KB are fetched in three zones that have the same targets.
+    """Map packs of 90 KB are fetched in three zones with equal targets.
 
-    Bytes between zones are paid for, and come later. A choice that does not know
-    zones fetches two in three from elsewhere.
+    Traffic between zones is billed and slower. A choice that ignores zones fetches two
+    in three packs from other zones.
     """
     blind = sum(share_between_zones(load, lambda zone: "", s) for s in range(3)) / 3
     aware = sum(share_between_zones(load, lambda zone: zone, s) for s in range(3)) / 3
@@ -71,16 +71,16 @@
 
 
 def test_calls_that_leave_their_zone_are_counted_by_reason():
-    """Bytes between zones rise, and an operator wants to know why calls cross."""
-    choosing = TargetChooser("a", Random(1))
+    """An operator sees cross-zone traffic rise and needs to know the reason."""
+    chooser = TargetChooser("a", Random(1))
     near, far = endpoint(1, "a", 2), endpoint(2, "b", 20)
     for _ in range(4):
-        choosing.choose([near, far], lambda item: None, 0.0)
-    assert choosing.n_left_zone[ZoneExit.FULL] == 2
-    choosing.choose([far], lambda item: None, 0.0)
-    assert choosing.n_left_zone[ZoneExit.NO_TARGET] == 1
-    choosing.choose([near, far], lambda item: None, 0.0, {near.key})
-    assert choosing.n_left_zone[ZoneExit.LEFT_OUT] == 1
+        chooser.choose([near, far], lambda item: None, 0.0)
+    assert chooser.n_left_zone[ZoneExit.FULL] == 2
+    chooser.choose([far], lambda item: None, 0.0)
+    assert chooser.n_left_zone[ZoneExit.NO_TARGET] == 1
+    chooser.choose([near, far], lambda item: None, 0.0, {near.key})
+    assert chooser.n_left_zone[ZoneExit.LEFT_OUT] == 1
     slow = TargetChooser("a", Random(1))
     for item, latency_ms in ((near, 900.0), (far, 90.0)):
         slow.choose([item], lambda item: None, 0.0, route="r")
@@ -91,7 +91,7 @@
 
 
 def chosen_where_all_are_full(n_near_waiting: int, n_far_waiting: int) -> str:
-    """Return the zone chosen where no target has a free slot."""
+    """Return the chosen zone when no target has a free slot."""
     near, far = endpoint(1, "a", N_SLOTS), endpoint(2, "b", N_SLOTS)
     waiting = {near.key: n_near_waiting, far.key: n_far_waiting}
     chosen = TargetChooser("a", Random(1)).choose(
@@ -101,20 +101,20 @@
 
 
 def test_calls_stay_in_their_zone_where_others_have_no_free_slot_either():
-    """Guards against an overload in which calls are swapped between full zones."""
+    """Guards against exchanging calls between full zones under overload."""
     assert chosen_where_all_are_full(N_SLOTS // 2, 0) == "a"
 
 
 def test_zone_that_has_lost_targets_uses_fuller_ones_elsewhere():
-    """Guards against one overfull zone that refuses what others could queue."""
+    """Guards against an overfull zone that refuses calls other zones could queue."""
     assert chosen_where_all_are_full(2 * N_SLOTS, N_SLOTS // 2) == "b"
 
 
 def simulate_unequal_speeds(objective_ms: float, seed: int) -> tuple[float, float]:
-    """Return the shares that cross zones and that are answered in time.
+    """Return the share of calls that cross zones and the share answered in time.
 
     Each zone has one target, and their speeds differ by more than a factor of two.
-    Every zone sends the same load, which fits with a third of the slots to spare.
+    Every zone sends the same load, which leaves a third of all slots free.
     """
     rng = Random(seed)
     speeds = {"a": 0.7, "b": 0.7, "c": 1.6}
@@ -156,9 +156,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_slower_target_of_the_own_zone_serves_calls_that_it_answers_in_time(seed):
-    """Instances differ in speed; the only one of a zone is a slow one.
+    """Instances differ in speed, and a zone has only a slow one.
 
-    Left at a third of its slots, it would stand idle while every second call
+    If only a third of its slots were used, it would be idle while every second call
     crosses zones and the quick instance fills up.
     """
     crossed, in_time = simulate_unequal_speeds(450.0, seed)
--- a/tests/test_fleet_budget.py
+++ b/tests/test_fleet_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget of all daemons together."""
+"""Tests of the retry budget that all daemons share."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @pytest.mark.parametrize("n_daemons", [1, 5, 12])
 @pytest.mark.parametrize("n_per_s", [2, 50])
-def test_no_window_holds_more_retries_than_all_may_send(n_daemons, n_per_s):
-    """Every call to a service fails for a while, at every daemon.
+def test_retries_stay_within_the_budget_in_every_window(n_daemons, n_per_s):
+    """Every call to a service fails for a while at every daemon.
 
-    With a budget that each daemon has for itself, twelve of them would send the
-    service twelve times what it can bear.
+    With independent budgets, twelve daemons would send the service twelve times the
+    retries that it can handle.
     """
     clock = {"ms": 0.0}
     budgets = [
@@ -41,7 +41,7 @@
     assert retries_ms
 
 
-def test_call_that_no_target_has_seen_is_sent_on_for_nothing():
+def test_retry_of_a_call_that_no_target_has_seen_is_free():
     budget = FleetRetryBudget(
         lambda: BudgetTerms(0.0, 0, 10_000), lambda: 0.0, lambda: 3
     )
@@ -49,7 +49,7 @@
     assert all(budget.take("deferrable", has_arrived=False) for _ in range(100))
 
 
-def test_less_urgent_calls_leave_something_to_the_others():
+def test_less_urgent_calls_leave_budget_for_more_urgent_ones():
     budget = FleetRetryBudget(
         lambda: BudgetTerms(0.0, 100, 10_000), lambda: 0.0, lambda: 1
     )
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -1,4 +1,4 @@
-"""Large answers on a slow link, and small ones that want to pass them."""
+"""Tests of pacing: small answers overtake large ones on a slow link."""
 
 from __future__ import annotations
 
@@ -17,45 +17,45 @@
 
 
 class Link:
-    """A link that carries what is written to it in order, at its pace."""
+    """A link that carries bytes in the order of their writes, at a fixed rate."""
 
     def __init__(self) -> None:
         self.free_ms = 0.0
 
     def write(self, n_bytes: int, now_ms: float) -> float:
-        """Return when the last byte has left."""
+        """Return when the last byte has been sent."""
         self.free_ms = max(self.free_ms, now_ms) + n_bytes / LINK_BYTES_PER_MS
         return self.free_ms
 
 
 def iter_downloads(pacer: LinkPacer, n_downloads: int) -> Iterator[tuple[float, int]]:
-    """Yield when each part of some downloads is written, and its size."""
+    """Yield the time at which each part of some downloads is written, and its size."""
     for _ in range(-(-DOWNLOAD_BYTES // pacer.part_bytes)):
         for _ in range(n_downloads):
             yield pacer.delay_ms(pacer.part_bytes, 0.0), pacer.part_bytes
 
 
 def small_answers_wait_ms(pacer: LinkPacer) -> tuple[float, float]:
-    """Return the longest wait of small answers beside two downloads, and their end."""
+    """Return the longest wait of small answers, and the end of two downloads."""
     events = [(at_ms, n_bytes, False) for at_ms, n_bytes in iter_downloads(pacer, 2)]
     events += [(float(at_ms), 400, True) for at_ms in range(5, 500, 20)]
     link = Link()
-    worst_ms = end_ms = 0.0
+    longest_wait_ms = end_ms = 0.0
     for at_ms, n_bytes, is_small in sorted(events):
-        left_ms = link.write(n_bytes, at_ms)
+        sent_ms = link.write(n_bytes, at_ms)
         if is_small:
-            worst_ms = max(worst_ms, left_ms - at_ms)
+            longest_wait_ms = max(longest_wait_ms, sent_ms - at_ms)
         else:
-            end_ms = left_ms
-    return worst_ms, end_ms
+            end_ms = sent_ms
+    return longest_wait_ms, end_ms
 
 
-def test_small_answers_pass_large_ones_on_a_slow_link():
-    """Two map packs leave a VM whose link carries 2.5 Mbit/s; look-ups go on.
+def test_small_answers_overtake_large_ones_on_a_slow_link():
+    """A VM sends two map packs on a link of 2.5 Mbit/s while it answers look-ups.
 
-    Written at once they fill the link for half a second, and each look-up that is
-    answered meanwhile comes that much later; the calls that wait for it hold slots.
-    Paced, look-ups wait for a part or two, and the packs come a fifth later.
+    Written at once, the packs occupy the link for half a second and delay each look-up
+    answered meanwhile by that time; the calls that wait for it hold slots. With pacing,
+    look-ups wait for one or two parts, and the packs arrive a fifth later.
     """
     unpaced_ms, unpaced_end_ms = small_answers_wait_ms(LinkPacer(0.0, PART_MAX_BYTES))
     paced_ms, paced_end_ms = small_answers_wait_ms(LinkPacer(LINK_MBPS, PART_MAX_BYTES))
@@ -72,7 +72,7 @@
     assert [pacer.delay_ms(PART_MAX_BYTES, 0.0) for _ in range(3)] == [0, 0, 0]
 
 
-def test_link_that_was_idle_owes_nothing():
+def test_pacing_does_not_carry_over_idle_time():
     pacer = LinkPacer(LINK_MBPS, PART_MAX_BYTES)
     pacer.delay_ms(DOWNLOAD_BYTES, 0.0)
     assert pacer.delay_ms(1000, 100.0) > 200
@@ -80,7 +80,7 @@
 
 
 class RecordingStream:
-    """A stream that notes when what was sent on it."""
+    """A stream that records the frames sent on it, with their times."""
 
     def __init__(self) -> None:
         self.gate = WriteGate()
@@ -92,7 +92,7 @@
 
 
 def test_body_leaves_in_parts_at_the_pace_of_the_link():
-    """A download is sent while another call's answer is ready."""
+    """The answer of another call becomes ready while a download is sent."""
 
     async def scenario():
         stream, pacer = RecordingStream(), LinkPacer(LINK_MBPS, PART_MAX_BYTES)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are suspected of crashing targets, and which are kept from them."""
+"""Tests of the suspicion and quarantine of requests that crash targets."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 POISON = b"poison"
 
 
-def crashed(quarantine, *running, crash_id="", now_ms=0):
-    """Take a crash at which some requests were running."""
-    crash_id = crash_id or f"vm/{crashed.count}"
-    crashed.count += 1
+def add_crash(quarantine, *running, crash_id="", now_ms=0):
+    """Record a crash during which some requests were running."""
+    crash_id = crash_id or f"vm/{add_crash.count}"
+    add_crash.count += 1
     return quarantine.record_crash(running, crash_id, now_ms)
 
 
-crashed.count = 1
+add_crash.count = 1
 
 
 def test_request_is_quarantined_after_three_crashes():
     quarantine = Quarantine()
     standings = []
     for _ in range(N_CRASHES_MAX):
-        crashed(quarantine, POISON)
+        add_crash(quarantine, POISON)
         standings.append(quarantine.standing(POISON, 0))
     assert standings == [Standing.TRUSTED, Standing.SUSPECT, Standing.QUARANTINED]
     refusal = quarantine.refusal(POISON, 1000)
@@ -41,22 +41,22 @@
     assert refusal.retry_after_ms == QUARANTINE_MS - 1000
 
 
-def test_what_ran_beside_a_suspect_is_not_charged():
-    """Guards against refusing requests that were only near the crashes."""
+def test_requests_that_ran_beside_a_suspect_are_not_charged():
+    """Guards against refusing requests that only ran during the crashes."""
     quarantine = Quarantine()
-    crashed(quarantine, POISON, b"a", b"b")
+    add_crash(quarantine, POISON, b"a", b"b")
     for index in range(N_CRASHES_MAX):
-        crashed(quarantine, POISON, b"a%d" % index, b"c")
+        add_crash(quarantine, POISON, b"a%d" % index, b"c")
     assert quarantine.standing(POISON, 0) is Standing.QUARANTINED
     assert quarantine.standing(b"c", 0) is Standing.TRUSTED
     assert quarantine.n_quarantined(0) == 1
 
 
 def test_answered_request_is_no_longer_suspected():
-    """Guards against refusing a common request that runs at most crashes."""
+    """Guards against refusing a common request that is running at most crashes."""
     quarantine = Quarantine()
     for _ in range(3 * N_CRASHES_MAX):
-        crashed(quarantine, b"common")
+        add_crash(quarantine, b"common")
         quarantine.record_answer(b"common")
     assert quarantine.standing(b"common", 0) is Standing.TRUSTED
     assert quarantine.record_answer(b"common") is None
@@ -66,38 +66,38 @@
 def test_quarantine_ends_and_is_longer_the_next_time():
     quarantine = Quarantine()
     for _ in range(N_CRASHES_MAX):
-        crashed(quarantine, POISON)
+        add_crash(quarantine, POISON)
     assert quarantine.standing(POISON, QUARANTINE_MS - 1) is Standing.QUARANTINED
     assert quarantine.standing(POISON, QUARANTINE_MS) is Standing.SUSPECT
-    crashed(quarantine, POISON, now_ms=QUARANTINE_MS)
+    add_crash(quarantine, POISON, now_ms=QUARANTINE_MS)
     until_ms = 3 * QUARANTINE_MS
     assert quarantine.standing(POISON, until_ms - 1) is Standing.QUARANTINED
     assert quarantine.standing(POISON, until_ms) is Standing.SUSPECT
 
 
-def test_old_suspicion_counts_no_more():
+def test_old_crashes_no_longer_count():
     quarantine = Quarantine()
-    crashed(quarantine, POISON)
-    crashed(quarantine, POISON)
+    add_crash(quarantine, POISON)
+    add_crash(quarantine, POISON)
     assert quarantine.standing(POISON, RECORD_KEPT_MS - 1) is Standing.SUSPECT
     assert quarantine.standing(POISON, RECORD_KEPT_MS) is Standing.TRUSTED
-    crashed(quarantine, POISON, now_ms=RECORD_KEPT_MS)
+    add_crash(quarantine, POISON, now_ms=RECORD_KEPT_MS)
     assert quarantine.standing(POISON, RECORD_KEPT_MS) is Standing.TRUSTED
 
 
 def test_request_that_turns_harmful_is_quarantined_after_many_harmless_crashes():
-    """Guards against a common request that can't be suspected any more."""
+    """Guards against a common request that can no longer become a suspect."""
     quarantine = Quarantine()
     for _ in range(2 * N_CRASH_IDS_MAX):
-        crashed(quarantine, b"common")
+        add_crash(quarantine, b"common")
         quarantine.record_answer(b"common")
     for _ in range(N_CRASHES_MAX):
-        crashed(quarantine, b"common")
+        add_crash(quarantine, b"common")
     assert quarantine.standing(b"common", 0) is Standing.QUARANTINED
 
 
 def test_records_merge_to_the_same_in_any_order():
-    """Guards against daemons that disagree for good on what they were told."""
+    """Guards against daemons that never converge on the same records."""
     received = [
         CrashRecord(POISON, ("a/1",)),
         CrashRecord(POISON, ("b/1", "a/1")),
@@ -117,27 +117,27 @@
 
 
 def test_late_report_of_a_crash_does_not_undo_a_later_answer():
-    """Guards against a suspicion that comes back over a slower way."""
+    """Guards against a cleared crash that returns with a delayed record."""
     quarantine = Quarantine()
-    report = crashed(quarantine, b"common", crash_id="vm/1")
+    report = add_crash(quarantine, b"common", crash_id="vm/1")
     quarantine.record_answer(b"common")
     assert not quarantine.merge(report[0], 0)
     assert next(quarantine.records()).cleared_ids == ("vm/1",)
 
 
 def test_table_of_suspects_keeps_the_quarantined_when_it_is_full():
-    """Guards against a wave of crashes that pushes a poison request out of memory."""
+    """Guards against a wave of crashes that evicts the record of a poison request."""
     quarantine = Quarantine(n_tracked_max=8)
     for _ in range(N_CRASHES_MAX):
-        crashed(quarantine, POISON)
+        add_crash(quarantine, POISON)
     for index in range(100):
-        crashed(quarantine, b"%d" % index, now_ms=index)
+        add_crash(quarantine, b"%d" % index, now_ms=index)
     assert quarantine.standing(POISON, 100) is Standing.QUARANTINED
     assert len(list(quarantine.records())) == 8
 
 
 def test_two_poison_requests_at_once_are_both_found_among_many():
-    """Guards against crashes with several causes, or with none, that hide a cause."""
+    """Guards against crashes with several causes, or none, that hide a cause."""
     rng = random.Random(5)
     quarantine = Quarantine()
     poison = [b"first", b"second"]
@@ -148,10 +148,10 @@
         running = rng.sample(others, 11)
         if n_crashes % 4:
             running.append(poison[n_crashes % 2])
-        crashed(quarantine, *running, now_ms=n_crashes)
+        add_crash(quarantine, *running, now_ms=n_crashes)
         for answered in rng.sample(others, 400):
             quarantine.record_answer(answered)
-    standings = [quarantine.standing(found, n_crashes) for found in poison]
+    standings = [quarantine.standing(request, n_crashes) for request in poison]
     assert standings == [Standing.QUARANTINED] * 2
     assert quarantine.n_quarantined(n_crashes) == 2
     assert n_crashes <= 12
--- a/tests/test_quarantine_differential.py
+++ b/tests/test_quarantine_differential.py
@@ -1,4 +1,4 @@
-"""Daemons that tell each other of crashes, against one that knows all at once."""
+"""Differential test of daemons that exchange crash records and a global model."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class NaiveFleet:
-    """What was charged and cleared, in two plain sets of each request."""
+    """A global model: the charged and the cleared crashes of each request."""
 
     def __init__(self):
         self.charged = defaultdict(set)
@@ -49,13 +49,13 @@
 
 
 def send_records(sender, receiver):
-    """Let one daemon tell another all that it knows."""
+    """Merge all records of one daemon into another."""
     for record in sender.records():
         receiver.merge(record, 0)
 
 
 def simulate(history):
-    """Return the daemons after a history, and the naive fleet beside them."""
+    """Return the daemons and the naive model after a history."""
     fleet = [Quarantine() for _ in range(N_DAEMONS)]
     naive = NaiveFleet()
     for index, (kind, daemon, what) in enumerate(history):
@@ -73,22 +73,22 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(histories)
-def test_daemons_agree_with_one_that_knows_all_once_they_have_talked(history):
-    """Guards against daemons that lose a crash, or keep one that was cleared."""
+def test_daemons_agree_after_they_have_exchanged_all_records(history):
+    """Guards against daemons that lose a crash or keep one that was cleared."""
     fleet, naive = simulate(history)
     for _ in range(2):
         for sender in fleet:
             for receiver in fleet:
                 send_records(sender, receiver)
     for quarantine in fleet:
-        found = [quarantine.standing(request, 0) for request in REQUESTS]
-        assert found == [naive.standing(request) for request in REQUESTS]
+        standings = [quarantine.standing(request, 0) for request in REQUESTS]
+        assert standings == [naive.standing(request) for request in REQUESTS]
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(histories, st.lists(daemons, min_size=N_CRASHES_MAX, max_size=8))
-def test_poison_is_found_whatever_happened_before(history, places):
-    """Guards against a poison request that hides behind earlier crashes."""
+def test_poison_request_is_found_after_any_history(history, places):
+    """Guards against a poison request that is hidden by earlier crashes."""
     fleet, _ = simulate(history)
     for index, daemon in enumerate(places):
         fleet[daemon].record_crash([POISON], f"p{index}", 0)
--- a/tests/test_returning_callers.py
+++ b/tests/test_returning_callers.py
@@ -1,4 +1,4 @@
-"""When callers come back whose calls were turned away by targets with free slots."""
+"""Tests of the retry time of calls that targets with free slots refuse."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 def simulate(
     accepted_share: float, return_ms_of: Callable[[AcceptanceRates], float]
 ) -> float:
-    """Return the share of callers whose answer came in time.
+    """Return the share of callers whose answer arrived in time.
 
-    Targets take calls in with the same probability at any time, and every caller
-    comes back up to twice, when it is told to, at most after a third of its time.
+    Targets accept calls with a constant probability. Every caller retries up to twice,
+    after the time that it is given, but at most after a third of its remaining time.
     """
     rng, acceptance = Random(5), AcceptanceRates()
     events = [(index * 10.0, index, 0, index * 10.0) for index in range(1_500)]
@@ -46,11 +46,11 @@
 
 
 @pytest.mark.parametrize("accepted_share", [0.3, 0.45, 0.8])
-def test_callers_turned_away_by_rule_get_answers_in_time(accepted_share):
-    """The instances of a service turn away about half of what comes for some seconds.
+def test_callers_refused_despite_free_slots_get_answers_in_time(accepted_share):
+    """The instances of a service refuse about half of all calls for some seconds.
 
-    Callers told to come back in a second get their answers late, though the next try
-    would often have been taken at once.
+    Callers that retry after a second get late answers, although an immediate retry
+    would often have been accepted.
     """
     soon = simulate(accepted_share, lambda acceptance: acceptance.retry_after_ms("s"))
     in_a_second = simulate(accepted_share, lambda acceptance: 1_000.0)
@@ -58,7 +58,7 @@
     assert soon > 0.9 * (1 - (1 - accepted_share) ** (1 + N_RETRIES))
 
 
-def test_callers_of_targets_that_take_nothing_are_sent_away_for_longer():
+def test_retry_time_is_longer_if_targets_accept_nothing():
     acceptance = AcceptanceRates()
     for _ in range(300):
         acceptance.record("s", False)
@@ -66,8 +66,8 @@
     assert acceptance.retry_after_ms("other") == 50
 
 
-def test_call_that_the_target_turned_away_says_to_come_back_soon():
-    """The only target of a service sheds a booking though its slots are free."""
+def test_refusal_by_a_target_with_free_slots_asks_for_an_early_retry():
+    """The only target of a service refuses a booking although it has free slots."""
     refusal = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n"
 
     async def shed(target, writer, head) -> None:
--- a/tests/test_run_memory.py
+++ b/tests/test_run_memory.py
@@ -1,4 +1,4 @@
-"""The memory of non-idempotent calls."""
+"""Tests of the memory of non-idempotent calls."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 
 def test_call_that_comes_twice_runs_once():
-    """A head is repeated on its way; the second must not give a second award."""
+    """A head is delivered twice; the second copy must not run an award again."""
     memory = RunMemory(10)
     memory.begin(key(1), 1, 1000, 0)
     assert memory.begin(key(1), 1, 1000, 1) is Admission.REPEATED
 
 
 def test_denied_call_never_runs_from_an_earlier_stream():
-    """The head arrives after its caller was told that it had not run."""
+    """The head arrives after its caller was told that the call had not run."""
     memory = RunMemory(10)
     assert memory.look_up(key(1), 2, 0).state is RunState.NEVER_RUN
     assert memory.begin(key(1), 1, 1000, 1) is Admission.REPEATED
@@ -59,7 +59,7 @@
 
 
 def test_forgotten_call_is_not_denied():
-    """The caller's daemon was frozen, and asks long after the deadline."""
+    """The caller's daemon was paused and looks up the call long after its deadline."""
     memory = RunMemory(10)
     memory.begin(key(1), 1, 1000, 0)
     memory.finish(key(1), ANSWER)
@@ -76,7 +76,7 @@
 
 
 def test_full_memory_refuses_instead_of_forgetting():
-    """A flood of bookings; dropping old ones would let them run a second time."""
+    """In a flood of bookings, evicting old ones would let them run a second time."""
     memory = RunMemory(3)
     admitted = [memory.begin(key(call_id), 1, 1000, 0) for call_id in range(1, 5)]
     assert admitted == [Admission.TAKEN] * 3 + [Admission.FULL]
--- a/tests/test_splits.py
+++ b/tests/test_splits.py
@@ -1,4 +1,4 @@
-"""Routes that share their requests out by weight."""
+"""Tests of weighted traffic splits and of route statistics."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     return compile_routes([Snapshot(head, b"", intent)], {}).match("", "/x")
 
 
-def test_parts_get_their_shares():
+def test_splits_get_their_shares():
     route = compiled(Split("ledger", 90), Split("vault", 10))
     rng = Random(7)
-    found = Counter(pick_part(route, rng).service.name for _ in range(4000))
-    assert abs(found["vault"] / 4000 - 0.1) < 0.02
+    n_picked = Counter(pick_part(route, rng).service.name for _ in range(4000))
+    assert abs(n_picked["vault"] / 4000 - 0.1) < 0.02
     assert pick_part(compiled(Split("ledger", 0), Split("vault", 1)), rng) is not None
     only = {
         pick_part(compiled(Split("ledger", 0), Split("vault", 1)), rng).service.name
@@ -46,12 +46,12 @@
     ],
     ids=["no service", "service and splits", "no weight", "unknown service"],
 )
-def test_faulty_splits_are_named(route):
+def test_invalid_splits_are_reported(route):
     faults = list(iter_intent_faults(Intent("c", SERVICES, (route,))))
     assert faults and all(fault.where.startswith("routes[0]") for fault in faults)
 
 
-def test_caller_that_comes_back_is_told_from_a_new_one():
+def test_returning_caller_is_distinguished_from_a_new_one():
     timeouts = CallerTimeouts()
     rng = Random(2)
     for _ in range(200):
@@ -61,7 +61,7 @@
     assert timeouts.waited_ms("r", 0) == 0
 
 
-def test_size_of_answers_follows_what_is_seen():
+def test_mean_answer_size_follows_recorded_sizes():
     sizes = AnswerSizes()
     for _ in range(200):
         sizes.record("map", 90_000)
