--- a/packages/pepperstair-core/pepperstair_core/calls/admission.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/admission.py
@@ -26,12 +26,13 @@
 AGED_AFTER_MS: Final = 500.0
 # Calls that can no longer be answered in time wait behind those that can, for at
 # most this share of the time they had left on arrival. An early refusal leaves their
-# callers time to go elsewhere, and a third is what the callers would wait themselves.
+# callers time to go elsewhere, and a third is what callers wait before their own retry.
 LATE_WAIT_SHARE: Final = 1 / 3
 # An overload is over when no call has been refused for this time.
 OVERLOAD_GAP_MS: Final = 1_000.0
-# How long after its arrival a call shows that calls of its priority are in use.
-LESS_URGENT_SEEN_MS: Final = 1_000.0
+# For how long after its arrival a call counts as a sign that calls of its priority
+# still arrive.
+LESS_URGENT_RECENT_MS: Final = 1_000.0
 
 
 class RefusalCause(StrEnum):
@@ -204,7 +205,7 @@
         place = PRIORITIES.index(call.priority)
         return any(
             call.arrived_ms - self._last_arrived_ms_of[less_urgent]
-            < LESS_URGENT_SEEN_MS
+            < LESS_URGENT_RECENT_MS
             for less_urgent in PRIORITIES[place + 1 :]
         )
 
@@ -341,7 +342,7 @@
     if not queue:
         return None
     newest = queue.newest_of_longest()
-    if queue.n_of(newest.customer) > queue.n_of(call.customer) + 1:
+    if queue.n_waiting_of(newest.customer) > queue.n_waiting_of(call.customer) + 1:
         return newest
     return None
 
--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -168,7 +168,7 @@
             )
         elif end.kind is EndKind.REFUSED:
             # A target that refuses at once has no calls in flight and so looks idle:
-            # unless it is avoided, it would attract all calls and refuse them.
+            # unless it is avoided, it would attract all calls and refuse them all.
             avoided_ms = min(end.retry_after_ms or AVOIDED_MS, AVOIDED_MS)
             health.avoided_until_ms = now_ms + avoided_ms
             self._restricted[endpoint.key] = health
--- a/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
@@ -36,14 +36,14 @@
     route: str = ""
 
 
-class _Place(Struct, frozen=True):
+class _QueuedCall(Struct, frozen=True):
     """The position of a call among those of its customer."""
 
     order: Order
     ticket: int
     call: WaitingCall
 
-    def __lt__(self, other: _Place) -> bool:
+    def __lt__(self, other: _QueuedCall) -> bool:
         """Return whether this call comes first."""
         return (self.order, self.ticket) < (other.order, other.ticket)
 
@@ -56,7 +56,7 @@
     """
 
     def __init__(self) -> None:
-        self._queues: dict[str, list[_Place]] = {}
+        self._queues: dict[str, list[_QueuedCall]] = {}
         self._deficits: dict[str, float] = {}
         self._turns: deque[str] = deque()
         self._n_calls = 0
@@ -75,7 +75,7 @@
             queue = self._queues[call.customer] = []
             self._deficits[call.customer] = 0.0
             self._turns.appendleft(call.customer)
-        bisect.insort(queue, _Place(order, call.ticket, call))
+        bisect.insort(queue, _QueuedCall(order, call.ticket, call))
         self._n_calls += 1
 
     def pop(self) -> WaitingCall:
@@ -108,17 +108,17 @@
     def remove(self, call: WaitingCall) -> None:
         """Remove a call that no longer waits."""
         queue = self._queues[call.customer]
-        queue[:] = [place for place in queue if place.ticket != call.ticket]
+        queue[:] = [queued for queued in queue if queued.ticket != call.ticket]
         self._n_calls -= 1
 
-    def n_of(self, customer: str) -> int:
+    def n_waiting_of(self, customer: str) -> int:
         """Return the number of waiting calls of a customer."""
         return len(self._queues.get(customer, ()))
 
     def n_ahead(self, customer: str, order: Order = (0, math.inf)) -> int:
         """Return how many waiting calls are ahead of a new call of a customer."""
         own = self._queues.get(customer, ())
-        n_own = bisect.bisect_right(own, order, key=lambda place: place.order)
+        n_own = bisect.bisect_right(own, order, key=lambda queued: queued.order)
         return n_own + sum(
             min(len(queue), n_own + 1)
             for name, queue in self._queues.items()
--- a/packages/pepperstair-core/pepperstair_core/calls/fleet_budget.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fleet_budget.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct
 
-# The share of the budget that is used. The windows of the daemons are not aligned,
-# and a crashed daemon has used its part and is replaced by one without that record.
+# The share of the budget that is used. The windows of the daemons are not aligned, and
+# the successor of a crashed daemon does not know what its predecessor has used.
 USED_SHARE: Final = 0.75
 # The share of a daemon's part that each priority may use. The remainder is reserved
 # for more urgent calls, which a burst of refused less urgent calls would otherwise
@@ -21,8 +21,8 @@
 class BudgetTerms(Struct, frozen=True):
     """The limit on the retries to a service, over all daemons.
 
-    Within any `window_ms`, they are `ratio` of the requests to the service plus
-    `n_min`.
+    Within any `window_ms`, at most `ratio` of the requests to the service plus `n_min`
+    are retried.
     """
 
     ratio: float
--- a/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
@@ -122,10 +122,14 @@
         running = set(running)
         if not running:
             return ()
-        counts = {found: self._n_crashes(found, now_ms) for found in running}
-        most = max(counts.values())
+        counts = {
+            fingerprint: self._n_crashes(fingerprint, now_ms) for fingerprint in running
+        }
+        highest_count = max(counts.values())
         charged = tuple(
-            CrashRecord(found, (crash_id,)) for found in counts if counts[found] == most
+            CrashRecord(fingerprint, (crash_id,))
+            for fingerprint in counts
+            if counts[fingerprint] == highest_count
         )
         for record in charged:
             self.merge(record, now_ms)
@@ -192,9 +196,9 @@
         self._records.pop(
             min(
                 self._records,
-                key=lambda found: (
-                    self.standing(found, now_ms) is Standing.QUARANTINED,
-                    self._records[found].crashed_ms,
+                key=lambda fingerprint: (
+                    self.standing(fingerprint, now_ms) is Standing.QUARANTINED,
+                    self._records[fingerprint].crashed_ms,
                 ),
             )
         )
--- a/packages/pepperstair-core/pepperstair_core/calls/retry.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/retry.py
@@ -19,7 +19,7 @@
 N_ATTEMPTS_MAX: Final = 3
 BACKOFF_BASE_MS: Final = 5.0
 BACKOFF_MAX_MS: Final = 250.0
-BUDGET_FIRST_PERCENT: Final = 1_000
+BUDGET_INITIAL_PERCENT: Final = 1_000
 BUDGET_MAX_PERCENT: Final = 10_000
 # Percent that calls of each priority must leave in the budget. Under overload the
 # refusals of less urgent calls would otherwise use all of it, and a refused booking
@@ -27,7 +27,7 @@
 RESERVED_PERCENT: Final = {"urgent": 0, "normal": 500, "deferrable": 900}
 
 # Failures after which an idempotent call may be retried although it may have run.
-_LOST_ANSWERS: Final = frozenset(
+_LOST_ANSWER_KINDS: Final = frozenset(
     {ErrorKind.TARGET_FAILED, ErrorKind.TARGET_CRASHED, ErrorKind.OUTCOME_UNKNOWN}
 )
 
@@ -109,7 +109,7 @@
     __slots__ = ("_percent",)
 
     def __init__(self) -> None:
-        self._percent = BUDGET_FIRST_PERCENT
+        self._percent = BUDGET_INITIAL_PERCENT
 
     def add_call(self, percent: int) -> None:
         """Count a call, which permits `percent` hundredths of a retry."""
@@ -131,7 +131,7 @@
     failure = attempt.failure
     if attempt.has_run is not Run.NO and not attempt.is_idempotent:
         return GiveUp(GiveUpCause.MAY_HAVE_RUN)
-    is_lost = failure.kind in _LOST_ANSWERS
+    is_lost = failure.kind in _LOST_ANSWER_KINDS
     is_refused = failure.answer.is_retryable and failure.has_run is Run.NO
     if not (is_refused or is_lost) or not attempt.is_replayable:
         return GiveUp(GiveUpCause.FINAL)
--- a/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
@@ -5,15 +5,15 @@
 import math
 from typing import Final
 
-# Weight of the newest latency in the typical one, which changes slowly because the
-# latencies of answers are compared with it.
+# Weight of the newest answer in the typical latency of its route, which changes slowly
+# because it is the reference for single answers.
 TYPICAL_WEIGHT: Final = 0.05
 # Weight of the newest outcome in a route's failure rate, which covers about fifty calls
 # to all targets.
 FAILURE_RATE_WEIGHT: Final = 0.02
-# A target is ejected for a number of errors in a row that is less probable than this
-# if it fails as often as all targets do. The failure rate counts as at most the second
-# value, with which 66 errors in a row eject a target, still within seconds.
+# A target is ejected after so many errors in a row that, at the failure rate of all
+# targets, they have less than this probability. The rate is capped at the second value,
+# with which a target is ejected after 66 errors in a row and thus still within seconds.
 CHANCE_STREAK_PROBABILITY_MAX: Final = 0.001
 FAILURE_RATE_MAX: Final = 0.9
 N_ROUTES_MAX: Final = 1_000
--- a/packages/pepperstair-core/pepperstair_core/calls/service_times.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/service_times.py
@@ -7,7 +7,7 @@
 from ..intent import PRIORITIES
 from .fair_queue import WaitingCall
 
-FIRST_SERVICE_MS: Final = 10.0
+INITIAL_SERVICE_MS: Final = 10.0
 SERVICE_WEIGHT: Final = 0.1
 # Mean deviations added to the mean, as in the TCP retransmission timeout (Jacobson
 # 1988).
@@ -19,9 +19,9 @@
 N_USEFUL_DEVIATIONS: Final = 1.0
 USEFUL_WORK_SHARE: Final = 0.7
 # A call is short if it takes less than this share of the time of the target's longest
-# calls: in its place, none of those could be answered in time.
+# calls: refusing it would not let one of those be answered in time instead.
 SHORT_SHARE: Final = 0.25
-# Decay of the longest service time with each call: it is halved after 700 calls.
+# Decay of the longest service time with each call, with a half-life of 700 calls.
 LONGEST_KEPT_SHARE: Final = 0.999
 N_ROUTES_MAX: Final = 1_000
 
@@ -36,9 +36,9 @@
     """
 
     def __init__(self) -> None:
-        self.mean_ms = FIRST_SERVICE_MS
+        self.mean_ms = INITIAL_SERVICE_MS
         self.longest_ms = 0.0
-        self._mean_ms_of = dict.fromkeys(PRIORITIES, FIRST_SERVICE_MS)
+        self._mean_ms_of = dict.fromkeys(PRIORITIES, INITIAL_SERVICE_MS)
         self._deviation_ms_of = dict.fromkeys(PRIORITIES, 0.0)
         self._mean_ms_by_route: dict[str, float] = {}
         self._deviation_ms_by_route: dict[str, float] = {}
@@ -67,7 +67,7 @@
         return call.wanted_ms - max(service_ms, min(longest_ms, allowed_ms))
 
     def latest_start_ms(self, call: WaitingCall) -> float:
-        """Return the latest start that gives an answer before the deadline.
+        """Return the latest start that is expected to meet the call's deadline.
 
         If the call started later, it would be answered too late and would hold a slot
         that another call still needs. Under overload every call starts as late as
