--- a/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
@@ -81,7 +81,7 @@
         self._records: dict[bytes, _Record] = {}
 
     def standing(self, fingerprint: bytes, now_ms: float) -> Standing:
-        """Return the current standing of a request."""
+        """Return whether and how a request may run now."""
         record = self._records.get(fingerprint)
         if record is None:
             return Standing.TRUSTED
