--- a/packages/pepperstair-core/pepperstair_core/distribution/__init__.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions about configuration: holding, spreading, asking and applying."""
+"""Distribution of configuration versions: storing, gossiping, pulling and applying."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     Tick,
     Work,
 )
-from .floor import ReachedBy
+from .floor import FloorSource
 from .node import Distribution
 from .outbox import Outbox
 from .state import PLATFORM, Timing
@@ -56,7 +56,7 @@
     "Outbox",
     "Paused",
     "PutInForce",
-    "ReachedBy",
+    "FloorSource",
     "ReadBells",
     "ReadHead",
     "ReadHeads",
--- a/packages/pepperstair-core/pepperstair_core/distribution/actions.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/actions.py
@@ -1,4 +1,4 @@
-"""What the distribution decides to do; the daemon carries it out."""
+"""Actions that the distribution returns for the daemon to execute."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Send(Struct, frozen=True):
-    """Send a frame to a neighbour, in the turn of a customer if one is named."""
+    """Send a frame to a neighbour, through the fair queue if a customer is named."""
 
     vm: str
     frame: ControlFrame
@@ -20,20 +20,20 @@
 
 
 class PutInForce(Struct, frozen=True):
-    """Swap the snapshot in force; `learnt_from` is a VM or the platform."""
+    """Replace the snapshot in force; `learnt_from` is a VM or the platform."""
 
     snapshot: Snapshot
     learnt_from: str
 
 
 class ReadBells(Struct, frozen=True):
-    """Read the bell rows of all buckets."""
+    """Read the change tokens of all buckets."""
 
 
 class ReadHeads(Struct, frozen=True):
-    """Read the heads of one bucket, or of all where `bucket` is None.
+    """Read the heads of one bucket, or of all buckets if `bucket` is None.
 
-    `number` comes back with the answer, which a pause may have made old.
+    The answer repeats `number`, so that answers from before a pause can be ignored.
     """
 
     bucket: int | None
@@ -53,7 +53,7 @@
 
 
 class Reject(Struct, frozen=True):
-    """Report a version that was applied nowhere in part."""
+    """Report a version that was rejected as a whole; no part of it was applied."""
 
     head: Head
     learnt_from: str
@@ -61,7 +61,7 @@
 
 
 class Note(Struct, frozen=True):
-    """Record a decision."""
+    """Record a decision in the decision log."""
 
     kind: DecisionKind
     subject: str
--- a/packages/pepperstair-core/pepperstair_core/distribution/anti_entropy.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/anti_entropy.py
@@ -1,18 +1,18 @@
-"""Repair of what was missed: neighbours compare the versions that they hold."""
+"""Anti-entropy: neighbours compare their held versions to repair missed updates."""
 
 from __future__ import annotations
 
 from ..wire import Have, HeadsDigest
 from .actions import Actions, Send
-from .in_force import advance, note_holder
-from .pulling import want
+from .in_force import advance, record_holder
+from .pulling import schedule_pull
 from .state import DistributionState
 
 
-def compare_due(
+def send_digest_if_due(
     state: DistributionState, has_known_floor: bool, now_ms: int
 ) -> Actions:
-    """Send the digest to one random neighbour when its time has come."""
+    """Send the digest to one random neighbour if the interval has elapsed."""
     if now_ms < state.anti_entropy_due_ms:
         return
     interval_ms = state.timing.anti_entropy_ms * state.rng.uniform(0.5, 1.5)
@@ -22,8 +22,8 @@
         yield Send(vm, HeadsDigest(state.versions_digest(), has_known_floor))
 
 
-def ask_versions(vm: str, has_known_floor: bool, number: int = 0) -> Actions:
-    """Ask a neighbour for its versions, whatever they are."""
+def request_versions(vm: str, has_known_floor: bool, number: int = 0) -> Actions:
+    """Request a neighbour's versions, even if they equal this daemon's."""
     yield Send(vm, HeadsDigest(b"", has_known_floor, number))
 
 
@@ -34,11 +34,15 @@
     has_known_floor: bool,
     now_ms: int,
 ) -> Actions:
-    """Answer with the own versions where they differ, or take the answer in."""
+    """Answer a digest that differs with this daemon's versions, or process an answer.
+
+    For an answer, pull the versions that are newer at the sender and announce those
+    that are newer here.
+    """
     if not frame.is_answer:
         digest = state.versions_digest()
         if frame.digest == digest:
-            yield from _note_equal(state, sender, now_ms)
+            yield from _record_equal_versions(state, sender, now_ms)
         else:
             versions = state.held_versions()
             answer = HeadsDigest(digest, has_known_floor, frame.number, True, versions)
@@ -47,43 +51,48 @@
     theirs = dict(frame.versions)
     for name, version in theirs.items():
         customer = state.customer(name)
-        note_holder(state, customer, sender, version)
-        if version > customer.n_received:
-            want(state, customer, version, now_ms)
+        record_holder(state, customer, sender, version)
+        if version > customer.received_version:
+            schedule_pull(state, customer, version, now_ms)
         yield from advance(state, customer, now_ms)
     for name, version in state.held_versions():
         if version > theirs.get(name, 0):
             yield Send(sender, Have(name, version))
 
 
-def ask_holders_due(
+def query_holders_if_due(
     state: DistributionState, has_known_floor: bool, now_ms: int
 ) -> Actions:
-    """Ask again who holds the versions that wait to be put in force.
+    """Request the versions of neighbours that block a candidate from going in force.
 
-    A neighbour says once that it holds a version. Were that word lost with a
-    stream that broke, the version would stay held and never go in force.
+    A neighbour announces only once that it holds a version. If that frame is lost
+    with a broken stream, the version would stay held and never go in force.
     """
-    if now_ms < state.holders_due_ms:
+    if now_ms < state.holder_query_due_ms:
         return
-    waiting = {
+    lagging_vms = {
         vm
         for customer in state.customers.values()
         for candidate in customer.candidates
         for vm in state.fleet.neighbours
-        if now_ms - candidate.held_at_ms >= state.timing.ask_holders_ms
+        if now_ms - candidate.held_at_ms >= state.timing.holder_query_interval_ms
         and customer.holders.get(vm, 0) < candidate.snapshot.head.version
     }
-    if waiting:
-        state.holders_due_ms = now_ms + state.timing.ask_holders_ms
-    for vm in sorted(waiting):
-        yield from ask_versions(vm, has_known_floor)
+    if lagging_vms:
+        state.holder_query_due_ms = now_ms + state.timing.holder_query_interval_ms
+    for vm in sorted(lagging_vms):
+        yield from request_versions(vm, has_known_floor)
 
 
-def _note_equal(state: DistributionState, vm: str, now_ms: int) -> Actions:
+def _record_equal_versions(state: DistributionState, vm: str, now_ms: int) -> Actions:
     for customer in state.customers.values():
-        note_holder(state, customer, vm, customer.held_version)
+        record_holder(state, customer, vm, customer.held_version)
         yield from advance(state, customer, now_ms)
 
 
-__all__ = ["ask_holders_due", "ask_versions", "compare_due", "on_heads_digest"]
+__all__ = [
+    "query_holders_if_due",
+    "request_versions",
+    "send_digest_if_due",
+    "on_heads_digest",
+]
--- a/packages/pepperstair-core/pepperstair_core/distribution/applying.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/applying.py
@@ -1,7 +1,7 @@
-"""Building the next snapshot: the whole of it or nothing.
+"""Atomic application of received deltas and bodies.
 
-Received deltas and bodies wait in a fair queue, as reading a large document
-takes long enough to delay a small customer's change behind a burst.
+Received deltas and bodies wait in a fair queue: parsing a large document takes
+long enough that a burst of them would delay a small customer's change.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 )
 from .actions import Actions, Note, Reject
 from .in_force import advance
-from .pulling import fetch_failed, want
+from .pulling import on_fetch_failed, schedule_pull
 from .spreading import announce
 from .state import (
     PLATFORM,
@@ -34,7 +34,7 @@
 
 
 def apply_next(state: DistributionState, now_ms: int) -> Actions:
-    """Apply the delta or body whose turn it is, if one waits."""
+    """Apply the next delta or body of the fair queue, if there is one."""
     received = state.inbox.take()
     if isinstance(received, ReceivedDelta):
         yield from _apply_delta(state, received, now_ms)
@@ -42,17 +42,17 @@
         yield from _apply_body(state, received, now_ms)
 
 
-def hold(
+def hold_version(
     state: DistributionState,
     snapshot: Snapshot,
     learnt_from: str,
     now_ms: int,
     delta: Delta | None = None,
 ) -> Actions:
-    """Hold a version, tell the neighbours, and put it in force when permitted.
+    """Store a version, announce it, and put it in force once enough members hold it.
 
-    Updates cross each other in flight: a version that is not newer than the
-    held one is counted and ignored, so no proxy ever moves back.
+    Updates can arrive out of order: a version that is not newer than the held one
+    is counted and ignored, so that no proxy returns to an older version.
     """
     customer = state.customer(snapshot.head.customer)
     if snapshot.head.version <= customer.held_version:
@@ -61,7 +61,7 @@
     if delta is None:
         delta = make_delta(customer.held or customer.empty, snapshot)
     customer.held = snapshot
-    customer.n_received = max(customer.n_received, snapshot.head.version)
+    customer.received_version = max(customer.received_version, snapshot.head.version)
     customer.add_delta(delta)
     customer.add_candidate(Candidate(snapshot, now_ms, learnt_from))
     if customer.pull is not None and customer.pull.version <= snapshot.head.version:
@@ -83,20 +83,20 @@
     base = customer.empty if delta.base_version == 0 else customer.held
     if base is None or base.head.version != delta.base_version:
         _keep_early_delta(customer, received)
-        want(state, customer, version, now_ms, is_urgent=True)
+        schedule_pull(state, customer, version, now_ms, is_urgent=True)
         return
     applied = apply_delta(base, delta)
     if applied.is_err():
-        # The base differs from the sender's, or the delta was damaged. Without
-        # the digest the daemon would serve a document that nobody accepted.
+        # The base differs from the sender's, or the delta is corrupt. Without the
+        # digest check the daemon would serve a document that nobody accepted.
         cause = "; ".join(map(str, applied.unwrap_err()))
         state.counters.n_deltas_refused += 1
-        customer.n_received = customer.held_version
+        customer.received_version = customer.held_version
         yield Note(DecisionKind.REJECTED, customer.customer, f"delta: {cause}")
-        want(state, customer, version, now_ms, is_urgent=True, needs_full=True)
+        schedule_pull(state, customer, version, now_ms, is_urgent=True, needs_full=True)
         return
     state.counters.n_deltas_applied += 1
-    yield from hold(state, applied.unwrap(), received.sender, now_ms, delta)
+    yield from hold_version(state, applied.unwrap(), received.sender, now_ms, delta)
 
 
 def _apply_body(
@@ -109,9 +109,9 @@
         return
     made = make_snapshot(head, received.body)
     if made.is_ok():
-        yield from hold(state, made.unwrap(), received.sender, now_ms)
+        yield from hold_version(state, made.unwrap(), received.sender, now_ms)
         return
-    customer.n_received = customer.held_version
+    customer.received_version = customer.held_version
     cause = "; ".join(map(str, made.unwrap_err()))
     is_whole = digest_of(received.body) == head.digest
     if is_whole or received.sender == PLATFORM:
@@ -129,12 +129,12 @@
     cause: str,
     now_ms: int,
 ) -> Actions:
-    """Leave the held version in force, and report what could not be applied.
+    """Reject a body: keep the held version and report the cause.
 
-    A damaged body is asked for again after a while. A whole one that this
-    daemon can't read stays so, as when it is older than who accepted the
-    change: without the memory of it every neighbour's word would start another
-    pull.
+    A corrupt body is fetched again after a backoff. An intact body that this daemon
+    can't parse stays unreadable, for example when the daemon is older than the one
+    that accepted the change: unless the rejection is remembered, every announcement
+    of a neighbour would start another pull.
     """
     head = received.head
     state.counters.n_versions_rejected += 1
@@ -144,17 +144,17 @@
         customer.rejected_until_ms = now_ms + state.timing.rejected_retry_ms
         customer.pull = None
     else:
-        fetch_failed(state, customer.customer, now_ms)
+        on_fetch_failed(state, customer.customer, now_ms)
     yield Reject(head, received.sender, cause)
 
 
 def _keep_early_delta(customer: CustomerState, received: ReceivedDelta) -> None:
-    """Keep a delta whose base is on its way, to catch up without a second pull.
+    """Keep a delta whose base is being pulled, to catch up without a second pull.
 
-    While a full snapshot is being pulled the customer goes on changing; without
-    these the receiver would stay a version behind and pull for ever.
+    The customer may change while a full snapshot is being pulled. Without these
+    deltas the receiver would stay a version behind and pull for ever.
     """
-    customer.n_received = customer.held_version
+    customer.received_version = customer.held_version
     if len(customer.early_deltas) >= _N_EARLY_DELTAS_MAX:
         customer.early_deltas.pop(min(customer.early_deltas))
     customer.early_deltas[received.delta.base_version] = received
@@ -170,4 +170,4 @@
         state.inbox.put(customer.customer, received, cost)
 
 
-__all__ = ["apply_next", "hold"]
+__all__ = ["apply_next", "hold_version"]
--- a/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
@@ -1,8 +1,9 @@
-"""Knowing on which members a version is in force.
+"""Tracking of the members on which a version is in force.
 
-Acknowledgements travel back along the way that a version, or an inquiry, came,
-and are joined on the way: the collecting daemon receives a few frames, not one
-for each member. Where the way back broke, an inquiry makes a new one.
+Acknowledgements travel back along the path on which a version, or an inquiry,
+arrived and are aggregated at each hop: the collecting daemon receives a few
+frames, not one for each member. If a return path breaks, an inquiry establishes a
+new one.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from .actions import Actions, Converged, Send
 from .state import DistributionState
 
-_N_WAYS_MAX = 512
+_N_RETURN_PATHS_MAX = 512
 
 
 class Collection(Struct):
-    """What the collecting daemon knows of one version."""
+    """Acknowledgements of one version that the collecting daemon has received."""
 
     customer: str
     version: int
@@ -30,23 +31,24 @@
     convergence_ms: int | None = None
 
 
-class WayBack(Struct):
-    """Where acknowledgements of a customer go on their way to a collector.
+class ReturnPath(Struct):
+    """The next hop for a customer's acknowledgements to a collector.
 
-    `is_answered` says that this daemon has acknowledged the version itself.
+    `is_acknowledged` is true once this daemon has acknowledged the version itself;
+    `unreported_vms` are acknowledgements not yet forwarded to `parent`.
     """
 
     parent: str
     version: int
-    is_answered: bool = False
-    waiting: set[str] = field(default_factory=set)
+    is_acknowledged: bool = False
+    unreported_vms: set[str] = field(default_factory=set)
 
 
 class ConvergenceState(Struct):
-    """Collections of this daemon and the ways back to other collectors."""
+    """Collections of this daemon and the return paths to other collectors."""
 
     collections: dict[str, Collection] = field(default_factory=dict)
-    ways: dict[tuple[str, str], WayBack] = field(default_factory=dict)
+    return_paths: dict[tuple[str, str], ReturnPath] = field(default_factory=dict)
     inquiry_numbers: dict[tuple[str, str], int] = field(default_factory=dict)
 
 
@@ -58,9 +60,9 @@
     now_ms: int,
     first_inquiry_ms: int,
 ) -> Collection:
-    """Begin to collect acknowledgements of a version, newer ones included.
+    """Start to collect acknowledgements of a version or any newer one.
 
-    What is collected for a newer version that is held answers for this one too.
+    An existing collection of a newer version that is held here also covers this one.
     """
     known = convergence.collections.get(customer)
     held_version = state.customer(customer).held_version
@@ -74,19 +76,22 @@
 
 
 def missing_vms(collection: Collection, state: DistributionState) -> Iterator[str]:
-    """Yield the live members that have not acknowledged yet."""
+    """Yield the live members that have not acknowledged the version."""
     return (vm for vm in state.fleet.live() if vm not in collection.vms)
 
 
-def note_way_back(
-    convergence: ConvergenceState, collector: str, customer: str, way: WayBack
+def record_return_path(
+    convergence: ConvergenceState,
+    collector: str,
+    customer: str,
+    return_path: ReturnPath,
 ) -> None:
-    """Remember where a version came from; the oldest ways are forgotten."""
+    """Record the return path of a version; the oldest paths are evicted."""
     key = (collector, customer)
-    convergence.ways.pop(key, None)
-    convergence.ways[key] = way
-    if len(convergence.ways) > _N_WAYS_MAX:
-        del convergence.ways[next(iter(convergence.ways))]
+    convergence.return_paths.pop(key, None)
+    convergence.return_paths[key] = return_path
+    if len(convergence.return_paths) > _N_RETURN_PATHS_MAX:
+        del convergence.return_paths[next(iter(convergence.return_paths))]
 
 
 def on_in_force(
@@ -99,11 +104,11 @@
     if collection is not None and version >= collection.version:
         collection.vms.add(own_vm)
         yield from _check(collection, state, now_ms)
-    for (_, name), way in convergence.ways.items():
-        is_due = name == customer and version >= way.version
-        if is_due and not way.is_answered:
-            way.is_answered = True
-            way.waiting.add(own_vm)
+    for (_, name), return_path in convergence.return_paths.items():
+        is_due = name == customer and version >= return_path.version
+        if is_due and not return_path.is_acknowledged:
+            return_path.is_acknowledged = True
+            return_path.unreported_vms.add(own_vm)
 
 
 def on_acknowledge(
@@ -112,48 +117,48 @@
     frame: Acknowledge,
     now_ms: int,
 ) -> Actions:
-    """Count acknowledgements, or keep them to be passed on together."""
+    """Count acknowledgements, or store them to be forwarded together."""
     if frame.collector == state.fleet.own_vm:
         collection = convergence.collections.get(frame.customer)
         if collection is not None and frame.version >= collection.version:
             collection.vms.update(frame.vms)
             yield from _check(collection, state, now_ms)
         return
-    way = convergence.ways.get((frame.collector, frame.customer))
-    if way is not None and frame.version >= way.version:
-        way.waiting.update(frame.vms)
+    return_path = convergence.return_paths.get((frame.collector, frame.customer))
+    if return_path is not None and frame.version >= return_path.version:
+        return_path.unreported_vms.update(frame.vms)
 
 
 def on_inquire(
     convergence: ConvergenceState, state: DistributionState, sender: str, frame: Inquire
 ) -> Actions:
-    """Pass an inquiry on once, and answer it the way that it came."""
+    """Forward an inquiry once, and record its return path for the answer."""
     key = (frame.collector, frame.customer)
     is_repeat = convergence.inquiry_numbers.get(key) == frame.number
     if frame.collector == state.fleet.own_vm or is_repeat:
         return
-    if len(convergence.inquiry_numbers) >= _N_WAYS_MAX:
+    if len(convergence.inquiry_numbers) >= _N_RETURN_PATHS_MAX:
         del convergence.inquiry_numbers[next(iter(convergence.inquiry_numbers))]
     convergence.inquiry_numbers[key] = frame.number
-    way = WayBack(sender, frame.version)
+    return_path = ReturnPath(sender, frame.version)
     if state.customer(frame.customer).in_force_version >= frame.version:
-        way.is_answered = True
-        way.waiting.add(state.fleet.own_vm)
-    note_way_back(convergence, frame.collector, frame.customer, way)
+        return_path.is_acknowledged = True
+        return_path.unreported_vms.add(state.fleet.own_vm)
+    record_return_path(convergence, frame.collector, frame.customer, return_path)
     for vm in sorted(state.fleet.neighbours - {sender}):
         yield Send(vm, frame)
 
 
-def report_due(
+def report_if_due(
     convergence: ConvergenceState, state: DistributionState, now_ms: int
 ) -> Actions:
-    """Send what was gathered since the last tick, and inquire where it lacks."""
-    for (collector, customer), way in convergence.ways.items():
-        if way.waiting and way.parent in state.fleet.neighbours:
-            vms = tuple(sorted(way.waiting))
-            way.waiting.clear()
-            frame = Acknowledge(collector, customer, way.version, vms)
-            yield Send(way.parent, frame)
+    """Send acknowledgements stored since the last tick, and inquiries that are due."""
+    for (collector, customer), return_path in convergence.return_paths.items():
+        if return_path.unreported_vms and return_path.parent in state.fleet.neighbours:
+            vms = tuple(sorted(return_path.unreported_vms))
+            return_path.unreported_vms.clear()
+            frame = Acknowledge(collector, customer, return_path.version, vms)
+            yield Send(return_path.parent, frame)
     for collection in convergence.collections.values():
         yield from _check(collection, state, now_ms)
         if collection.convergence_ms is None and now_ms >= collection.inquiry_due_ms:
@@ -175,7 +180,10 @@
 
 
 def _inquire(collection: Collection, state: DistributionState, now_ms: int) -> Actions:
-    """Ask the whole fleet, less and less often while a member stays away."""
+    """Send an inquiry to the whole fleet, with exponential backoff and jitter.
+
+    The backoff applies while a member remains missing.
+    """
     collection.n_inquiries += 1
     wait_ms = state.timing.inquiry_ms * min(2**collection.n_inquiries, 32)
     collection.inquiry_due_ms = now_ms + int(wait_ms * state.rng.uniform(0.5, 1.0))
@@ -188,12 +196,12 @@
 __all__ = [
     "Collection",
     "ConvergenceState",
-    "WayBack",
+    "ReturnPath",
     "collect",
     "missing_vms",
-    "note_way_back",
+    "record_return_path",
     "on_acknowledge",
     "on_in_force",
     "on_inquire",
-    "report_due",
+    "report_if_due",
 ]
--- a/packages/pepperstair-core/pepperstair_core/distribution/events.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/events.py
@@ -1,4 +1,4 @@
-"""What happens to the distribution, as the daemon tells it."""
+"""Events that the daemon passes to the distribution."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 
 
 class Tick(Struct, frozen=True):
-    """Time has passed."""
+    """The periodic timer has fired."""
 
 
 class Work(Struct, frozen=True):
-    """There is time to apply one received delta or body."""
+    """The daemon is ready to apply one received delta or body."""
 
 
 class NeighbourUp(Struct, frozen=True):
-    """A stream to a neighbour has opened."""
+    """A stream to a neighbour was opened."""
 
     vm: str
 
 
 class NeighbourDown(Struct, frozen=True):
-    """A stream to a neighbour has closed."""
+    """A stream to a neighbour was closed."""
 
     vm: str
 
 
 class MembersChanged(Struct, frozen=True):
-    """The records of the members, all of them."""
+    """The member records have changed; carries all of them."""
 
     members: tuple[Member, ...]
 
 
 class FrameReceived(Struct, frozen=True):
-    """A frame from a neighbour."""
+    """A frame from a neighbour was received."""
 
     sender: str
     frame: ControlFrame
@@ -49,13 +49,13 @@
 
 
 class BellsRead(Struct, frozen=True):
-    """The tokens of the bells by bucket, None where the platform failed."""
+    """The change token of each bucket was read, None if the platform failed."""
 
     tokens: dict[int, str] | None
 
 
 class HeadsRead(Struct, frozen=True):
-    """The heads of a bucket, or of all, None where the platform failed."""
+    """The heads of a bucket, or of all, were read, None if the platform failed."""
 
     bucket: int | None
     heads: tuple[Head, ...] | None
@@ -63,21 +63,21 @@
 
 
 class HeadRead(Struct, frozen=True):
-    """The head of one customer, None where there is none or no answer."""
+    """The head of one customer was read, None if there is none or the read failed."""
 
     customer: str
     head: Head | None
 
 
 class ObjectFetched(Struct, frozen=True):
-    """A body from the object store, None where there is none or no answer."""
+    """A body was fetched, None if the object store has none or the fetch failed."""
 
     head: Head
     body: bytes | None
 
 
 class Paused(Struct, frozen=True):
-    """The process stood still for longer than its leases last."""
+    """The process was suspended for longer than its leases last."""
 
 
 DistributionEvent = (
--- a/packages/pepperstair-core/pepperstair_core/distribution/floor.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/floor.py
@@ -1,8 +1,8 @@
-"""The floor: what a daemon must have in force before it may carry calls.
+"""The floor: the minimum versions a daemon must have in force to serve calls.
 
-A daemon keeps nothing, so after a restart it doesn't know which versions it
-held. Either the platform's heads tell, or the neighbours, to whom it had told
-every version before it put it in force.
+A daemon has no persistent state, so after a restart it doesn't know which versions
+it held. The floor comes either from the platform's heads or from the neighbours: a
+daemon announces every version to its neighbours before it puts it in force.
 """
 
 from __future__ import annotations
@@ -16,120 +16,128 @@
 from ..versions import Head
 from ..wire import HeadsDigest
 from .actions import Actions, Note, ReadHeads
-from .anti_entropy import ask_versions
+from .anti_entropy import request_versions
 from .state import DistributionState
 
 N_NEIGHBOURS_FOR_FLOOR: Final = 2
-_ASK_AGAIN_MS: Final = 500
-_READ_AGAIN_MS: Final = 1000
-_READ_AGAIN_MAX_MS: Final = 4000
+_NEIGHBOUR_RETRY_MS: Final = 500
+_PLATFORM_RETRY_MS: Final = 1000
+_PLATFORM_RETRY_MAX_MS: Final = 4000
 _NUMBER_MAX: Final = 2**32
 
 
-class ReachedBy(StrEnum):
-    """Who told the daemon its floor."""
+class FloorSource(StrEnum):
+    """The source from which the daemon determined its floor."""
 
-    NOBODY = ""
+    NONE = ""
     PLATFORM = "platform"
     NEIGHBOURS = "neighbours"
 
 
 class FloorState(Struct):
-    """What is known of the floor; `answers` are neighbours' held versions.
-
-    Only neighbours that have known their own floor are counted: a herd of
-    restarted daemons would otherwise vouch for one another with nothing in their
-    hands. One that catches up after a pause is counted, as it remembers; were it
-    not, it and a restarted daemon could wait for each other for ever.
-    `number` marks the questions since the last start or pause: an answer from
-    before a pause lies in a buffer and would make an old floor.
+    """Progress in determining the floor; `answers` are neighbours' held versions.
+
+    Only answers of neighbours that have known their own floor count: otherwise
+    daemons that restarted together, all without any version, would confirm one
+    another. A neighbour that catches up after a pause counts, as its state survived
+    the pause; if its answer did not count, it and a restarted daemon could wait for
+    each other for ever.
+
+    `number` identifies the requests since the last start or pause: an answer that was
+    buffered during a pause would give an outdated floor.
     """
 
-    reached_by: ReachedBy = ReachedBy.NOBODY
+    reached_by: FloorSource = FloorSource.NONE
     has_been_known: bool = False
     started_at_ms: int | None = None
     platform_heads: dict[str, int] | None = None
     answers: dict[str, dict[str, int]] = field(default_factory=dict)
     number: int = 0
-    ask_due_ms: int = 0
+    query_due_ms: int = 0
     read_due_ms: int = 0
     n_reads: int = 0
 
     @property
     def is_known(self) -> bool:
-        """Return whether the daemon has its floor in force."""
-        return self.reached_by is not ReachedBy.NOBODY
+        """Return whether the floor is known and in force on this daemon."""
+        return self.reached_by is not FloorSource.NONE
 
 
-def note_platform_heads(
+def record_platform_heads(
     floor: FloorState, heads: tuple[Head, ...], number: int
 ) -> None:
-    """Take the heads of all customers, as the platform has them, as the floor."""
+    """Record the platform's heads of all customers as the floor."""
     if not floor.is_known and number == floor.number:
         floor.platform_heads = {head.customer: head.version for head in heads}
 
 
-def note_answer(floor: FloorState, vm: str, frame: HeadsDigest) -> None:
-    """Take a neighbour's versions as part of the floor."""
+def record_answer(floor: FloorState, vm: str, frame: HeadsDigest) -> None:
+    """Record a neighbour's held versions as part of the floor."""
     is_current = frame.is_answer and frame.number == floor.number
     if is_current and frame.has_known_floor and not floor.is_known:
         floor.answers[vm] = dict(frame.versions)
 
 
-def check_due(floor: FloorState, state: DistributionState, now_ms: int) -> Actions:
-    """Ask again what is still unknown, and see whether the floor is reached."""
+def check(floor: FloorState, state: DistributionState, now_ms: int) -> Actions:
+    """Check whether the floor is reached; otherwise send the requests that are due."""
     if floor.is_known:
         return
     if floor.started_at_ms is None:
         floor.started_at_ms = now_ms
         floor.number = state.rng.randrange(1, _NUMBER_MAX)
-    if floor.platform_heads is not None and _has(state, floor.platform_heads):
-        floor.reached_by = ReachedBy.PLATFORM
-    elif _is_vouched_for(floor, state, now_ms):
-        floor.reached_by = ReachedBy.NEIGHBOURS
+    if floor.platform_heads is not None and _has_in_force(state, floor.platform_heads):
+        floor.reached_by = FloorSource.PLATFORM
+    elif _is_confirmed_by_neighbours(floor, state, now_ms):
+        floor.reached_by = FloorSource.NEIGHBOURS
     if floor.is_known:
         floor.has_been_known = True
         cause = f"floor known by {floor.reached_by}"
         yield Note(DecisionKind.CAUGHT_UP, state.fleet.own_vm, cause)
         return
     if floor.platform_heads is None and now_ms >= floor.read_due_ms:
-        longest_ms = min(_READ_AGAIN_MS * 2**floor.n_reads, _READ_AGAIN_MAX_MS)
-        floor.n_reads = min(floor.n_reads + 1, _READ_AGAIN_MAX_MS // _READ_AGAIN_MS)
-        floor.read_due_ms = now_ms + int(longest_ms * state.rng.uniform(0.5, 1.0))
+        backoff_max_ms = min(
+            _PLATFORM_RETRY_MS * 2**floor.n_reads, _PLATFORM_RETRY_MAX_MS
+        )
+        floor.n_reads = min(
+            floor.n_reads + 1, _PLATFORM_RETRY_MAX_MS // _PLATFORM_RETRY_MS
+        )
+        floor.read_due_ms = now_ms + int(backoff_max_ms * state.rng.uniform(0.5, 1.0))
         yield ReadHeads(None, floor.number)
-    if now_ms >= floor.ask_due_ms:
-        floor.ask_due_ms = now_ms + _ASK_AGAIN_MS
+    if now_ms >= floor.query_due_ms:
+        floor.query_due_ms = now_ms + _NEIGHBOUR_RETRY_MS
         for vm in sorted(state.fleet.neighbours - floor.answers.keys()):
-            yield from ask_versions(vm, floor.has_been_known, floor.number)
+            yield from request_versions(vm, floor.has_been_known, floor.number)
 
 
-def restart(floor: FloorState, state: DistributionState, now_ms: int) -> Actions:
-    """Forget the floor after a pause, so that the daemon catches up first."""
-    floor.reached_by = ReachedBy.NOBODY
+def reset(floor: FloorState, state: DistributionState, now_ms: int) -> Actions:
+    """Discard the floor after a pause, so that the daemon catches up first."""
+    floor.reached_by = FloorSource.NONE
     floor.started_at_ms = None
     floor.platform_heads = None
     floor.answers.clear()
-    floor.ask_due_ms = floor.read_due_ms = floor.n_reads = 0
-    yield from check_due(floor, state, now_ms)
+    floor.query_due_ms = floor.read_due_ms = floor.n_reads = 0
+    yield from check(floor, state, now_ms)
 
 
-def _is_vouched_for(floor: FloorState, state: DistributionState, now_ms: int) -> bool:
-    """Return whether enough neighbours answered and all they hold is in force.
+def _is_confirmed_by_neighbours(
+    floor: FloorState, state: DistributionState, now_ms: int
+) -> bool:
+    """Return whether enough neighbours answered and all their versions are in force.
 
-    The whole wait passes before a part of the neighbours is enough: the two
-    that answer first may be the two that lag.
+    A subset of the neighbours is enough only after the full `floor_wait_ms`: the
+    two that answer first may be the two that lag.
     """
     n_others = sum(1 for _ in state.fleet.live()) - 1
     n_needed = min(N_NEIGHBOURS_FOR_FLOOR, max(1, n_others))
     if len(floor.answers) < n_needed:
         return False
-    is_waited = now_ms - floor.started_at_ms >= state.timing.floor_wait_ms
-    if not is_waited:
+    has_waited = now_ms - floor.started_at_ms >= state.timing.floor_wait_ms
+    if not has_waited:
         return False
-    return all(_has(state, versions) for versions in floor.answers.values())
+    return all(_has_in_force(state, versions) for versions in floor.answers.values())
 
 
-def _has(state: DistributionState, versions: dict[str, int]) -> bool:
+def _has_in_force(state: DistributionState, versions: dict[str, int]) -> bool:
     return all(
         state.customer(name).in_force_version >= version
         for name, version in versions.items()
@@ -139,9 +147,9 @@
 __all__ = [
     "N_NEIGHBOURS_FOR_FLOOR",
     "FloorState",
-    "ReachedBy",
-    "check_due",
-    "note_answer",
-    "note_platform_heads",
-    "restart",
+    "FloorSource",
+    "check",
+    "record_answer",
+    "record_platform_heads",
+    "reset",
 ]
--- a/packages/pepperstair-core/pepperstair_core/distribution/in_force.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/in_force.py
@@ -1,10 +1,10 @@
-"""When a held version goes in force.
+"""Rules by which a held version goes in force.
 
-A daemon keeps nothing. Were a version in force on one daemon while only one
-other holds it, both could die while the platform is out, and the restarted
-daemon would come back with an older version than callers had already seen. So
-a version goes in force only once two other live members are known to hold it,
-of which the sender is one, where the live fleet has three or more.
+A daemon has no persistent state. If a version were in force on one daemon while
+only one other holds it, both could crash during a platform outage, and the
+restarted daemon would serve an older version than callers have already seen. So in
+a fleet of three or more live members, a version goes in force only once two other
+live members, the sender included, are known to hold it.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 N_OTHER_HOLDERS: Final = 2
 
 
-def note_holder(
+def record_holder(
     state: DistributionState, customer: CustomerState, vm: str, version: int
 ) -> None:
-    """Remember that a member holds a version, or a newer one."""
+    """Record that a member holds at least a version."""
     if vm != state.fleet.own_vm and version > customer.holders.get(vm, 0):
         customer.holders[vm] = version
 
 
 def advance(state: DistributionState, customer: CustomerState, now_ms: int) -> Actions:
-    """Put the newest version in force that enough other members hold."""
+    """Put the newest candidate in force that enough other members hold."""
     for candidate in reversed(customer.candidates):
         if not _has_enough_holders(state, customer, candidate, now_ms):
             continue
@@ -52,10 +52,10 @@
     now_ms: int,
 ) -> bool:
     n_required = _n_required(state)
-    if now_ms - candidate.held_at_ms >= state.timing.alone_wait_ms:
-        # The bounded exception: whoever is cut off from all but a few would
-        # otherwise never apply what it holds, though members that it cannot
-        # reach are still listed. After the wait the open streams decide.
+    if now_ms - candidate.held_at_ms >= state.timing.holder_wait_max_ms:
+        # A daemon that is partitioned from most members would otherwise never apply
+        # its held version, as unreachable members are still listed as live. After
+        # the wait only neighbours with an open stream count.
         n_required = min(n_required, len(state.fleet.neighbours))
     return _n_holders(state, customer, candidate) >= n_required
 
@@ -76,4 +76,4 @@
     )
 
 
-__all__ = ["N_OTHER_HOLDERS", "advance", "note_holder"]
+__all__ = ["N_OTHER_HOLDERS", "advance", "record_holder"]
--- a/packages/pepperstair-core/pepperstair_core/distribution/node.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/node.py
@@ -35,10 +35,10 @@
 
 
 class Distribution:
-    """Decides which versions to hold, apply, spread and ask for.
+    """A sans-I/O state machine that stores, applies, announces and pulls versions.
 
-    It knows no socket and no clock: every event comes with the time, and what
-    it yields is for the caller to carry out, in order.
+    It uses no sockets and no clock: the caller passes the time with every event and
+    executes the yielded actions in order.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self.convergence = convergence.ConvergenceState()
 
     def handle(self, event: events.DistributionEvent, now_ms: int) -> Actions:
-        """Decide on one event; a version put in force is acknowledged with it."""
+        """Process one event, and acknowledge each version that it puts in force."""
         for action in self._decide(event, now_ms):
             yield action
             if isinstance(action, PutInForce):
@@ -59,26 +59,26 @@
                     self.convergence, self.state, customer, now_ms
                 )
         if not self.floor.is_known:
-            yield from floor.check_due(self.floor, self.state, now_ms)
+            yield from floor.check(self.floor, self.state, now_ms)
 
     @singledispatchmethod
     def _decide(self, event: events.DistributionEvent, now_ms: int) -> Actions:
-        raise TypeError(f"not an event of the distribution: {event!r}")
+        raise TypeError(f"unknown distribution event: {event!r}")
 
     @_decide.register
     def _(self, event: events.Tick, now_ms: int) -> Actions:
-        yield from polling.poll_due(self.polling, self.state, now_ms)
-        yield from pulling.ask_due(self.state, now_ms)
-        yield from anti_entropy.compare_due(
+        yield from polling.poll_if_due(self.polling, self.state, now_ms)
+        yield from pulling.pull_if_due(self.state, now_ms)
+        yield from anti_entropy.send_digest_if_due(
             self.state, self.floor.has_been_known, now_ms
         )
-        yield from anti_entropy.ask_holders_due(
+        yield from anti_entropy.query_holders_if_due(
             self.state, self.floor.has_been_known, now_ms
         )
         for customer in self.state.customers.values():
             if customer.candidates:
                 yield from in_force.advance(self.state, customer, now_ms)
-        yield from convergence.report_due(self.convergence, self.state, now_ms)
+        yield from convergence.report_if_due(self.convergence, self.state, now_ms)
 
     @_decide.register
     def _(self, event: events.Work, now_ms: int) -> Actions:
@@ -89,19 +89,19 @@
         self.state.fleet.neighbours.add(event.vm)
         for customer in self.state.customers.values():
             customer.pruned.discard(event.vm)
-        return anti_entropy.ask_versions(
+        return anti_entropy.request_versions(
             event.vm, self.floor.has_been_known, self.floor.number
         )
 
     @_decide.register
     def _(self, event: events.NeighbourDown, now_ms: int) -> Actions:
-        """Forget what the neighbour held: it may come back with nothing."""
+        """Discard the neighbour's held versions: it may restart without any."""
         self.state.fleet.neighbours.discard(event.vm)
         self.floor.answers.pop(event.vm, None)
         for customer in self.state.customers.values():
             customer.holders.pop(event.vm, None)
             customer.pruned.discard(event.vm)
-            serving.release(self.state, event.vm, customer.customer)
+            serving.release_pull(self.state, event.vm, customer.customer)
         yield from ()
 
     @_decide.register
@@ -120,20 +120,20 @@
             now_ms,
             self.state.timing.inquiry_ms,
         )
-        return applying.hold(
+        return applying.hold_version(
             self.state, event.snapshot, self.state.fleet.own_vm, now_ms
         )
 
     @_decide.register
     def _(self, event: events.BellsRead, now_ms: int) -> Actions:
-        return polling.on_bells(self.polling, self.state, event.tokens, now_ms)
+        return polling.on_bucket_tokens(self.polling, self.state, event.tokens, now_ms)
 
     @_decide.register
     def _(self, event: events.HeadsRead, now_ms: int) -> Actions:
         if event.heads is None:
             return
         if event.bucket is None:
-            floor.note_platform_heads(self.floor, event.heads, event.number)
+            floor.record_platform_heads(self.floor, event.heads, event.number)
         yield from polling.on_heads(
             self.polling, self.state, event.bucket, event.heads, now_ms
         )
@@ -141,11 +141,11 @@
     @_decide.register
     def _(self, event: events.HeadRead, now_ms: int) -> Actions:
         if event.head is None:
-            pulling.fetch_failed(self.state, event.customer, now_ms)
+            pulling.on_fetch_failed(self.state, event.customer, now_ms)
             return
         customer = self.state.customer(event.customer)
         version = event.head.version
-        pulling.want(
+        pulling.schedule_pull(
             self.state, customer, version, now_ms, head=event.head, is_urgent=True
         )
         if customer.pull is not None:
@@ -156,14 +156,14 @@
     def _(self, event: events.ObjectFetched, now_ms: int) -> Actions:
         customer = self.state.customer(event.head.customer)
         if event.body is None:
-            pulling.fetch_failed(self.state, customer.customer, now_ms)
+            pulling.on_fetch_failed(self.state, customer.customer, now_ms)
         else:
             pulling.queue_body(self.state, customer, PLATFORM, event.head, event.body)
         yield from ()
 
     @_decide.register
     def _(self, event: events.Paused, now_ms: int) -> Actions:
-        return floor.restart(self.floor, self.state, now_ms)
+        return floor.reset(self.floor, self.state, now_ms)
 
     @_decide.register
     def _(self, event: events.FrameReceived, now_ms: int) -> Actions:
@@ -175,21 +175,21 @@
             case Have():
                 yield from spreading.on_have(state, sender, frame, now_ms)
             case DeltaPush():
-                self._note_way_back(sender, frame.delta.head)
+                self._record_return_path(sender, frame.delta.head)
                 yield from spreading.on_delta_push(state, sender, frame, now_ms)
             case Prune():
                 spreading.on_prune(state, sender, frame)
             case Pull():
                 yield from serving.on_pull(state, sender, frame, now_ms)
             case SnapshotPart():
-                self._note_way_back(sender, frame.head)
-                yield from pulling.on_part(state, sender, frame, now_ms)
+                self._record_return_path(sender, frame.head)
+                yield from pulling.on_snapshot_part(state, sender, frame, now_ms)
             case Busy():
                 pulling.on_busy(state, sender, frame, now_ms)
             case HeadsDigest():
                 yield from self._on_heads_digest(sender, frame, now_ms)
             case PollerSign():
-                yield from polling.on_poller_sign(
+                yield from polling.on_poller_beacon(
                     self.polling, state, sender, frame, now_ms
                 )
             case Acknowledge():
@@ -202,17 +202,17 @@
                 )
 
     def _on_heads_digest(self, sender: str, frame: HeadsDigest, now_ms: int) -> Actions:
-        floor.note_answer(self.floor, sender, frame)
+        floor.record_answer(self.floor, sender, frame)
         yield from anti_entropy.on_heads_digest(
             self.state, sender, frame, self.floor.has_been_known, now_ms
         )
 
-    def _note_way_back(self, sender: str, head: Head) -> None:
-        is_new = head.version > self.state.customer(head.customer).n_received
+    def _record_return_path(self, sender: str, head: Head) -> None:
+        is_new = head.version > self.state.customer(head.customer).received_version
         if is_new and head.accepted_by != self.state.fleet.own_vm:
-            way = convergence.WayBack(sender, head.version)
-            convergence.note_way_back(
-                self.convergence, head.accepted_by, head.customer, way
+            return_path = convergence.ReturnPath(sender, head.version)
+            convergence.record_return_path(
+                self.convergence, head.accepted_by, head.customer, return_path
             )
 
 
--- a/packages/pepperstair-core/pepperstair_core/distribution/pulling.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/pulling.py
@@ -1,7 +1,7 @@
-"""Fetching a version that was announced and did not follow.
+"""Pulling of versions that were announced but not received.
 
-A pull asks neighbours that hold the version, one after the other, and the
-object store when none of them delivers.
+A pull asks the neighbours that hold the version one after the other, and falls back
+to the object store if none of them delivers it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 _N_BUSY_ROUNDS = 3
 
 
-def want(
+def schedule_pull(
     state: DistributionState,
     customer: CustomerState,
     version: int,
@@ -31,10 +31,10 @@
     is_urgent: bool = False,
     needs_full: bool = False,
 ) -> None:
-    """Remember that a version is missing; `ask_due` asks for it in time.
+    """Record that a version is missing; `pull_if_due` requests it after a grace period.
 
-    The wait before asking is jittered: all neighbours of a lost sender miss the
-    same version at the same moment and would otherwise pull in step.
+    The grace period is jittered: all neighbours of a lost sender miss the same
+    version at the same moment and would otherwise pull at the same time.
     """
     if version <= customer.held_version or _is_rejected(customer, version, now_ms):
         return
@@ -44,7 +44,7 @@
     pull = customer.pull
     if pull is None:
         pull = customer.pull = PullState(version, now_ms + grace_ms)
-    elif not pull.asked:
+    elif not pull.asked_vms:
         pull.due_ms = min(pull.due_ms, now_ms + grace_ms)
     pull.version = max(pull.version, version)
     pull.needs_full = pull.needs_full or needs_full
@@ -52,18 +52,18 @@
         pull.head = head
 
 
-def ask_due(state: DistributionState, now_ms: int) -> Actions:
-    """Ask the next source for each version whose time has come."""
+def pull_if_due(state: DistributionState, now_ms: int) -> Actions:
+    """Ask the next source for each version whose pull is due."""
     for customer in state.customers.values():
         pull = customer.pull
         if pull is not None and now_ms >= pull.due_ms:
             yield from _ask_next(state, customer, pull, now_ms)
 
 
-def on_part(
+def on_snapshot_part(
     state: DistributionState, sender: str, frame: SnapshotPart, now_ms: int
 ) -> Actions:
-    """Collect one piece of a full snapshot, and queue the whole for its turn."""
+    """Store one part of a full snapshot, and queue the body once it is complete."""
     customer = state.customer(frame.head.customer)
     pull = customer.pull
     if pull is None or frame.head.version <= customer.held_version:
@@ -94,14 +94,14 @@
     head: Head,
     body: bytes,
 ) -> None:
-    """Queue a whole body for its turn to be applied."""
-    customer.n_received = max(customer.n_received, head.version)
+    """Queue a complete body to be applied."""
+    customer.received_version = max(customer.received_version, head.version)
     state.counters.n_full_pulls += 1
     state.inbox.put(head.customer, ReceivedBody(sender, head, body), len(body))
 
 
 def on_busy(state: DistributionState, sender: str, frame: Busy, now_ms: int) -> None:
-    """Turn to the other holders that were named, or come back later."""
+    """Try the other holders named in the frame, or retry later."""
     customer = state.customer(frame.customer)
     pull = customer.pull
     if pull is None:
@@ -117,14 +117,14 @@
     wait_ms = min(frame.retry_after_ms, state.timing.pull_backoff_max_ms)
     pull.due_ms = now_ms + int(wait_ms * state.rng.uniform(1.0, 2.0))
     if pull.n_rounds < _N_BUSY_ROUNDS:
-        # Busy neighbours still deliver: going to the object store at once
-        # would move the whole herd there.
-        pull.asked.clear()
+        # Busy neighbours can deliver later: an immediate fallback would move the
+        # whole herd to the object store.
+        pull.asked_vms.clear()
         pull.n_rounds += 1
 
 
-def fetch_failed(state: DistributionState, customer: str, now_ms: int) -> None:
-    """Wait before the next round after the platform could not help."""
+def on_fetch_failed(state: DistributionState, customer: str, now_ms: int) -> None:
+    """Schedule the next round after a failed platform read, with backoff."""
     pull = state.customer(customer).pull
     if pull is not None:
         pull.due_ms = now_ms + _backoff_ms(state, pull)
@@ -135,13 +135,13 @@
 ) -> Actions:
     source = _next_source(state, customer, pull)
     if source is not None:
-        pull.asked.add(source)
+        pull.asked_vms.add(source)
         pull.due_ms = now_ms + state.timing.pull_timeout_ms
         customer.pruned.discard(source)
         held_version = 0 if pull.needs_full else customer.held_version
         yield Send(source, Pull(customer.customer, held_version))
         return
-    pull.asked.clear()
+    pull.asked_vms.clear()
     pull.n_rounds += 1
     pull.due_ms = now_ms + state.timing.pull_timeout_ms + _backoff_ms(state, pull)
     if pull.head is not None:
@@ -153,28 +153,32 @@
 def _next_source(
     state: DistributionState, customer: CustomerState, pull: PullState
 ) -> str | None:
-    """Return a neighbour to ask: one of the own zone before the others.
+    """Return a neighbour to pull from, preferably one in this daemon's zone.
 
-    Where nobody has the wanted version, as when its object is damaged, one that
-    has at least a newer version than the held one is better than none.
+    If no neighbour holds the wanted version, for example because its object is
+    corrupt, return one that holds any version newer than this daemon's.
     """
     versions = {
         vm: customer.holders.get(vm, 0)
-        for vm in sorted(state.fleet.neighbours - pull.asked)
+        for vm in sorted(state.fleet.neighbours - pull.asked_vms)
     }
-    able = [vm for vm, version in versions.items() if version >= pull.version]
-    if not able:
+    candidates = [vm for vm, version in versions.items() if version >= pull.version]
+    if not candidates:
         held_version = customer.held_version
-        able = [vm for vm, version in versions.items() if version > held_version]
-    near = [vm for vm in able if state.fleet.zone_of(vm) == state.fleet.own_zone]
-    choices = near or able
+        candidates = [vm for vm, version in versions.items() if version > held_version]
+    same_zone = [
+        vm for vm in candidates if state.fleet.zone_of(vm) == state.fleet.own_zone
+    ]
+    choices = same_zone or candidates
     return state.rng.choice(choices) if choices else None
 
 
 def _backoff_ms(state: DistributionState, pull: PullState) -> int:
-    """Return a full-jitter wait that doubles with each round."""
-    longest = state.timing.pull_timeout_ms * 2 ** min(pull.n_rounds, 10)
-    return int(state.rng.uniform(0, min(longest, state.timing.pull_backoff_max_ms)))
+    """Return a full-jitter delay whose maximum doubles with each round."""
+    backoff_max_ms = state.timing.pull_timeout_ms * 2 ** min(pull.n_rounds, 10)
+    return int(
+        state.rng.uniform(0, min(backoff_max_ms, state.timing.pull_backoff_max_ms))
+    )
 
 
 def _is_rejected(customer: CustomerState, version: int, now_ms: int) -> bool:
@@ -184,4 +188,11 @@
     return now_ms < customer.rejected_until_ms
 
 
-__all__ = ["ask_due", "fetch_failed", "on_busy", "on_part", "queue_body", "want"]
+__all__ = [
+    "pull_if_due",
+    "on_fetch_failed",
+    "on_busy",
+    "on_snapshot_part",
+    "queue_body",
+    "schedule_pull",
+]
--- a/packages/pepperstair-core/pepperstair_core/distribution/serving.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/serving.py
@@ -1,8 +1,8 @@
-"""Answering neighbours' pulls.
+"""Serving of neighbours' pulls.
 
-Deltas go to whoever is a few versions behind; a full snapshot is served to a
-bounded number of neighbours at once, so that a herd that comes back does not
-stall the daemons that survived.
+A neighbour that is a few versions behind receives deltas. Full snapshots are served
+to a bounded number of neighbours at a time, so that many daemons that restart
+together do not stall the running ones.
 """
 
 from __future__ import annotations
@@ -19,37 +19,37 @@
 
 
 def on_pull(state: DistributionState, sender: str, frame: Pull, now_ms: int) -> Actions:
-    """Send what the neighbour lacks, or say that it should ask elsewhere."""
+    """Send the missing versions, or a `Busy` frame that names other holders."""
     customer = state.customer(frame.customer)
     customer.pruned.discard(sender)
     held = customer.held
     if held is None or held.head.version <= frame.held_version:
         return
-    chain = _chain(customer, frame.held_version)
+    chain = _delta_chain(customer, frame.held_version)
     if chain and sum(len(delta.patch) for delta in chain) < len(held.body):
         for delta in chain:
             yield Send(sender, DeltaPush(delta), customer.customer)
         return
-    _expire(state, now_ms)
+    _expire_pulls(state, now_ms)
     key = (sender, frame.customer)
-    is_full = len(state.served) >= state.timing.n_pulls_served_max
-    if is_full and key not in state.served:
+    is_full = len(state.served_pulls) >= state.timing.n_pulls_served_max
+    if is_full and key not in state.served_pulls:
         state.counters.n_busy_sent += 1
-        yield Send(sender, _busy(state, customer, sender))
+        yield Send(sender, _busy_reply(state, customer, sender))
         return
-    state.served[key] = now_ms + state.timing.serving_timeout_ms
+    state.served_pulls[key] = now_ms + state.timing.serving_timeout_ms
     state.counters.n_full_pulls_served += 1
     for part in iter_parts(held):
         yield Send(sender, part, customer.customer)
 
 
-def release(state: DistributionState, vm: str, customer: str) -> None:
-    """Free the place of a full pull once its receiver says what it holds."""
-    state.served.pop((vm, customer), None)
+def release_pull(state: DistributionState, vm: str, customer: str) -> None:
+    """Free the capacity of a full pull once its receiver announces a version."""
+    state.served_pulls.pop((vm, customer), None)
 
 
 def iter_parts(snapshot: Snapshot) -> Iterator[SnapshotPart]:
-    """Cut a snapshot into pieces that let other frames pass between them."""
+    """Split a snapshot into parts, so that other frames can be sent in between."""
     n_parts = max(1, -(-len(snapshot.body) // PART_MAX_BYTES))
     for index in range(n_parts):
         start = index * PART_MAX_BYTES
@@ -57,8 +57,8 @@
         yield SnapshotPart(snapshot.head, index, n_parts, data)
 
 
-def _chain(customer: CustomerState, held_version: int) -> list[Delta]:
-    """Return the deltas from a version to the held one, empty where one lacks."""
+def _delta_chain(customer: CustomerState, held_version: int) -> list[Delta]:
+    """Return the deltas from a version to the held one, empty if one is missing."""
     by_base = {delta.base_version: delta for delta in customer.deltas}
     chain = []
     version = held_version
@@ -71,18 +71,18 @@
     return chain if version == customer.held_version else []
 
 
-def _expire(state: DistributionState, now_ms: int) -> None:
-    """Take back places whose receivers went silent.
+def _expire_pulls(state: DistributionState, now_ms: int) -> None:
+    """Free the capacity of pulls whose receivers have not answered in time.
 
-    A frozen neighbour would otherwise hold its place for good, and after a few
-    of them every later pull would be declined.
+    A frozen neighbour would otherwise occupy it for ever, and after
+    `n_pulls_served_max` such neighbours every later pull would be declined.
     """
-    for key, until_ms in list(state.served.items()):
+    for key, until_ms in list(state.served_pulls.items()):
         if now_ms >= until_ms:
-            del state.served[key]
+            del state.served_pulls[key]
 
 
-def _busy(state: DistributionState, customer: CustomerState, sender: str) -> Busy:
+def _busy_reply(state: DistributionState, customer: CustomerState, sender: str) -> Busy:
     others = [
         state.fleet.members[vm].peer_address
         for vm, version in sorted(customer.holders.items())
@@ -95,4 +95,4 @@
     return Busy(customer.customer, retry_after_ms, tuple(others[:_N_OTHERS_MAX]))
 
 
-__all__ = ["iter_parts", "on_pull", "release"]
+__all__ = ["iter_parts", "on_pull", "release_pull"]
--- a/packages/pepperstair-core/pepperstair_core/distribution/spreading.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/spreading.py
@@ -1,9 +1,9 @@
-"""Telling neighbours of new versions: a delta along a tree, a word to the others.
+"""Epidemic broadcast of new versions: deltas along a tree, announcements elsewhere.
 
-Each customer has its own tree. Every stream starts as part of it; whoever
-receives a version twice asks the second sender to announce only, which prunes
-the stream from the tree. A pull puts it back (Plumtree, Leitão, Pereira and
-Rodrigues 2007).
+Each customer has its own tree, which initially contains every stream. A daemon that
+receives a version twice asks the second sender to announce only, which prunes the
+stream from the tree. A pull grafts it back (Plumtree, Leitão, Pereira and Rodrigues
+2007).
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 from ..versions import Delta
 from ..wire import DeltaPush, Have, Prune
 from .actions import Actions, Send
-from .in_force import advance, note_holder
-from .pulling import want
-from .serving import release
+from .in_force import advance, record_holder
+from .pulling import schedule_pull
+from .serving import release_pull
 from .state import PART_MAX_BYTES, CustomerState, DistributionState, ReceivedDelta
 
 
 def announce(
     state: DistributionState, customer: CustomerState, delta: Delta, sender: str
 ) -> Actions:
-    """Tell every neighbour of the version that is now held.
+    """Push or announce the held version to every neighbour.
 
-    The sender too gets a `Have`: it counts holders before it puts the version
-    in force.
+    The sender also gets a `Have`, as it counts holders before it puts the version in
+    force.
     """
     version = delta.head.version
     is_pushable = len(delta.patch) <= PART_MAX_BYTES
@@ -38,34 +38,34 @@
 def on_delta_push(
     state: DistributionState, sender: str, frame: DeltaPush, now_ms: int
 ) -> Actions:
-    """Queue a delta for its turn, or prune the stream that repeated it."""
+    """Queue a delta to be applied, or prune the stream that sent a duplicate."""
     head = frame.delta.head
     customer = state.customer(head.customer)
-    note_holder(state, customer, sender, head.version)
-    if head.version <= customer.n_received:
+    record_holder(state, customer, sender, head.version)
+    if head.version <= customer.received_version:
         state.counters.n_versions_ignored += 1
         state.counters.n_prunes += 1
         customer.pruned.add(sender)
         yield Send(sender, Prune(head.customer))
         yield from advance(state, customer, now_ms)
         return
-    customer.n_received = head.version
+    customer.received_version = head.version
     cost = len(frame.delta.patch) + len((customer.held or customer.empty).body)
     state.inbox.put(head.customer, ReceivedDelta(sender, frame.delta), cost)
 
 
 def on_have(state: DistributionState, sender: str, frame: Have, now_ms: int) -> Actions:
-    """Count a holder, and pull the version if it does not follow in time."""
+    """Record a holder, and schedule a pull if the version is not received yet."""
     customer = state.customer(frame.customer)
-    note_holder(state, customer, sender, frame.version)
-    release(state, sender, frame.customer)
-    if frame.version > customer.n_received:
-        want(state, customer, frame.version, now_ms)
+    record_holder(state, customer, sender, frame.version)
+    release_pull(state, sender, frame.customer)
+    if frame.version > customer.received_version:
+        schedule_pull(state, customer, frame.version, now_ms)
     yield from advance(state, customer, now_ms)
 
 
 def on_prune(state: DistributionState, sender: str, frame: Prune) -> None:
-    """Announce to this neighbour from now on instead of pushing."""
+    """Announce versions to this neighbour instead of pushing them."""
     state.customer(frame.customer).pruned.add(sender)
 
 
--- a/packages/pepperstair-core/pepperstair_core/distribution/state.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/state.py
@@ -1,4 +1,4 @@
-"""What one daemon remembers about the spreading of versions."""
+"""State of the distribution on one daemon."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Timing(Struct, frozen=True):
-    """Times and bounds of the distribution; the defaults suit the target fleet."""
+    """Intervals, timeouts and limits; the defaults suit the target fleet."""
 
     pull_grace_ms: int = 150
     pull_timeout_ms: int = 1000
@@ -31,19 +31,19 @@
     n_pulls_served_max: int = 4
     serving_timeout_ms: int = 2000
     busy_retry_ms: int = 300
-    alone_wait_ms: int = 2000
-    ask_holders_ms: int = 300
+    holder_wait_max_ms: int = 2000
+    holder_query_interval_ms: int = 300
     anti_entropy_ms: int = 5000
     poll_interval_ms: int = 1000
-    sign_interval_ms: int = 2000
-    poller_silence_ms: int = 5000
-    outage_silence_ms: int = 30_000
+    beacon_interval_ms: int = 2000
+    poller_timeout_ms: int = 5000
+    outage_poller_timeout_ms: int = 30_000
     floor_wait_ms: int = 1500
     inquiry_ms: int = 1000
 
 
 class Candidate(Struct, frozen=True):
-    """A version that is held and waits for another holder before it is in force."""
+    """A held version that goes in force once enough other members hold it."""
 
     snapshot: Snapshot
     held_at_ms: int
@@ -51,27 +51,27 @@
 
 
 class PullState(Struct):
-    """A version that is known of and not yet held."""
+    """Progress of the pull of a version that is known but not held yet."""
 
     version: int
     due_ms: int
     head: Head | None = None
     needs_full: bool = False
     n_rounds: int = 0
-    asked: set[str] = field(default_factory=set)
+    asked_vms: set[str] = field(default_factory=set)
     parts: dict[int, bytes] = field(default_factory=dict)
     parts_head: Head | None = None
 
 
 class ReceivedDelta(Struct, frozen=True):
-    """A delta that waits for its turn to be applied."""
+    """A received delta that is queued to be applied."""
 
     sender: str
     delta: Delta
 
 
 class ReceivedBody(Struct, frozen=True):
-    """A whole body that waits for its turn to be applied."""
+    """A received complete body that is queued to be applied."""
 
     sender: str
     head: Head
@@ -79,18 +79,19 @@
 
 
 class CustomerState(Struct):
-    """One customer's versions on this daemon and what neighbours hold of them.
+    """One customer's versions on this daemon and on its neighbours.
 
-    `n_received` is the newest version that was received, perhaps not applied
-    yet. `deltas` lead from older versions to the held one; `early_deltas` build
-    on a version that is not held yet.
+    `received_version` is the newest version received, possibly not applied yet.
+    `deltas` lead from older versions to the held one; the base of `early_deltas` is
+    not held yet. `holders` maps each member to the newest version it is known to
+    hold; `pruned` are the neighbours that get announcements instead of deltas.
     """
 
     customer: str
     empty: Snapshot
     held: Snapshot | None = None
     in_force: Snapshot | None = None
-    n_received: int = 0
+    received_version: int = 0
     candidates: list[Candidate] = field(default_factory=list)
     deltas: deque[Delta] = field(default_factory=deque)
     early_deltas: dict[int, ReceivedDelta] = field(default_factory=dict)
@@ -103,27 +104,27 @@
 
     @property
     def held_version(self) -> int:
-        """Return the newest version held, 0 for none."""
+        """Return the newest version held, 0 if none."""
         return 0 if self.held is None else self.held.head.version
 
     @property
     def in_force_version(self) -> int:
-        """Return the version in force, 0 for none."""
+        """Return the version in force, 0 if none."""
         return 0 if self.in_force is None else self.in_force.head.version
 
     def add_candidate(self, candidate: Candidate) -> None:
-        """Keep a version until it may be put in force.
+        """Add a version that is to go in force once enough members hold it.
 
-        Under a burst the newest version changes faster than a neighbour can
-        confirm it, so the oldest ones are kept too: otherwise nothing would go
-        in force until the burst ends.
+        In a burst the newest version changes faster than neighbours can confirm it,
+        so the oldest candidates are kept too: otherwise no version would go in force
+        until the burst ends.
         """
         self.candidates.append(candidate)
         if len(self.candidates) > _N_CANDIDATES_MAX:
             del self.candidates[-2]
 
     def add_delta(self, delta: Delta) -> None:
-        """Keep a delta for neighbours that are a few versions behind."""
+        """Store a delta for neighbours that are a few versions behind."""
         self.deltas.append(delta)
         n_bytes = sum(len(kept.patch) for kept in self.deltas)
         while n_bytes > _DELTAS_MAX_BYTES:
@@ -131,7 +132,7 @@
 
 
 class Counters(Struct):
-    """Counts that `status` and the metrics show."""
+    """Counters that `status` and the metrics expose."""
 
     n_versions_ignored: int = 0
     n_versions_rejected: int = 0
@@ -145,7 +146,7 @@
 
 
 class Fleet(Struct):
-    """The live members as far as they matter here."""
+    """The members, and the neighbours with an open stream."""
 
     own_vm: str
     own_zone: str
@@ -153,18 +154,18 @@
     neighbours: set[str] = field(default_factory=set)
 
     def update(self, members: Iterable[Member]) -> None:
-        """Take the directory's newest records."""
+        """Replace the member records by the directory's current ones."""
         self.members = {member.vm: member for member in members}
 
     def live(self) -> Iterator[str]:
-        """Yield the members that nobody doubts, this daemon among them."""
+        """Yield the members that are not suspected, this daemon included."""
         yield self.own_vm
         for vm, member in self.members.items():
             if vm != self.own_vm and member.state is MemberState.ALIVE:
                 yield vm
 
     def zone_of(self, vm: str) -> str:
-        """Return the availability zone of a member, empty if it is unknown."""
+        """Return the availability zone of a member, empty if unknown."""
         member = self.members.get(vm)
         return member.availability_zone if member else ""
 
@@ -179,13 +180,13 @@
     inbox: DeficitRoundRobin[ReceivedDelta | ReceivedBody] = field(
         default_factory=lambda: DeficitRoundRobin(PART_MAX_BYTES)
     )
-    served: dict[tuple[str, str], int] = field(default_factory=dict)
+    served_pulls: dict[tuple[str, str], int] = field(default_factory=dict)
     anti_entropy_due_ms: int = 0
-    holders_due_ms: int = 0
+    holder_query_due_ms: int = 0
     counters: Counters = field(default_factory=Counters)
 
     def customer(self, name: str) -> CustomerState:
-        """Return the state of a customer, new where nothing is known of it."""
+        """Return the state of a customer, created on first use."""
         state = self.customers.get(name)
         if state is None:
             state = CustomerState(name, empty_snapshot(name))
@@ -201,7 +202,7 @@
         )
 
     def versions_digest(self) -> bytes:
-        """Return a digest that is equal where all held versions are equal."""
+        """Return a digest that is equal on daemons that hold the same versions."""
         text = repr(self.held_versions()).encode()
         return hashlib.blake2b(text, digest_size=8).digest()
 
--- a/tests/distribution/fake_network.py
+++ b/tests/distribution/fake_network.py
@@ -53,7 +53,7 @@
         self.zones: dict[str, str] = {}
         self.heads: dict[str, Head] = {}
         self.objects: dict[str, bytes] = {}
-        self.bells: dict[int, str] = {}
+        self.bucket_tokens: dict[int, str] = {}
         self.is_platform_out = False
         self.n_reads = 0
         self.drop_probability = 0.0
@@ -103,7 +103,7 @@
         head = Head(customer, version, digest_of(body), 0, accepted_by, change_id)
         self.heads[customer] = head
         self.objects[head.digest] = body
-        self.bells[bucket_of(customer)] = change_id
+        self.bucket_tokens[bucket_of(customer)] = change_id
         return Snapshot(head, body, intent)
 
     def run(self, duration_ms: int) -> None:
@@ -156,8 +156,8 @@
                 node.in_force[head.customer] = snapshot
                 node.history.setdefault(head.customer, []).append(head.version)
             case d.ReadBells():
-                bells = dict(self.bells)
-                self._answer(vm, node, d.BellsRead(self._if_up(bells)))
+                bucket_tokens = dict(self.bucket_tokens)
+                self._answer(vm, node, d.BellsRead(self._if_up(bucket_tokens)))
             case d.ReadHeads(bucket, number):
                 heads = tuple(
                     head
--- a/tests/distribution/test_spreading.py
+++ b/tests/distribution/test_spreading.py
@@ -113,13 +113,13 @@
     network.is_platform_out = True
     for vm in herd:
         network.start(vm)
-    served = [
-        len(network.nodes[vm].distribution.state.served)
+    n_served_pulls = [
+        len(network.nodes[vm].distribution.state.served_pulls)
         for _ in range(100)
         for vm in ("vm-0", "vm-1", "vm-2")
         if network.run(50) is None
     ]
-    assert max(served) <= d.Timing().n_pulls_served_max
+    assert max(n_served_pulls) <= d.Timing().n_pulls_served_max
     assert network.all_in_force("lantern", 1)
 
 
@@ -200,7 +200,7 @@
     head = replace(known, version=2, digest=digest_of(body), change_id="later")
     network.heads["lantern"], network.objects[head.digest] = head, body
     for number in range(20):
-        network.bells[bucket_of("lantern")] = f"ring {number}"
+        network.bucket_tokens[bucket_of("lantern")] = f"ring {number}"
         network.run(1000)
     assert n_actions(network, d.Reject, "vm-0") == 1
     assert network.all_in_force("lantern", 1)
