--- a/packages/pepperstair-core/pepperstair_core/deficit_round_robin.py
+++ b/packages/pepperstair-core/pepperstair_core/deficit_round_robin.py
@@ -1,8 +1,8 @@
-"""Deficit round robin over customers, and the token bucket behind it.
+"""Deficit round robin over customers, and a token bucket.
 
-A large customer's burst waits in that customer's own queue: a small customer's
-item is taken after at most one turn of each other customer (Shreedhar and
-Varghese 1995).
+Each customer has its own queue, so a large customer's burst does not delay the others:
+a small customer's item is taken after at most one turn of each other customer
+(Shreedhar and Varghese 1995).
 
 >>> queue = DeficitRoundRobin(quantum=10)
 >>> for number in range(3):
@@ -21,7 +21,7 @@
 
 
 class DeficitRoundRobin(Generic[Item]):
-    """A queue of items for each customer, taken in turns of equal cost."""
+    """One queue of items per customer, served in turns of equal cost."""
 
     def __init__(self, quantum: int) -> None:
         self._quantum = quantum
@@ -44,7 +44,7 @@
         self._costs[customer] += cost
 
     def take(self) -> Item | None:
-        """Remove and return the next item, or None from an empty queue."""
+        """Remove and return the next item, or None if all queues are empty."""
         while self._turns:
             customer = self._turns[0]
             cost, item = self._queues[customer][0]
@@ -55,15 +55,15 @@
         return None
 
     def cost_of(self, customer: str) -> int:
-        """Return the cost of all that waits for a customer."""
+        """Return the total cost of a customer's queued items."""
         return self._costs.get(customer, 0)
 
     def drop(self, customer: str) -> tuple[Item, ...]:
-        """Remove a customer's whole queue and return what was in it."""
+        """Remove a customer's queue and return its items."""
         queue = self._queues.get(customer, ())
         items = tuple(item for _, item in queue)
         if queue:
-            self._forget(customer)
+            self._remove_queue(customer)
         return items
 
     def _remove_first(self, customer: str, cost: int, item: Item) -> Item:
@@ -72,27 +72,27 @@
         queue = self._queues[customer]
         queue.popleft()
         if not queue:
-            self._forget(customer)
+            self._remove_queue(customer)
         return item
 
-    def _forget(self, customer: str) -> None:
-        """Drop an empty queue with its deficit, so that idling earns no credit."""
+    def _remove_queue(self, customer: str) -> None:
+        """Remove a queue with its deficit, so that an idle customer gains no credit."""
         del self._queues[customer], self._deficits[customer], self._costs[customer]
         self._turns.remove(customer)
 
 
 class TokenBucket:
-    """Permits a steady rate with bursts up to one second's worth."""
+    """A rate limiter that allows bursts of up to one second's worth of tokens."""
 
     def __init__(self, n_per_s: float, now_ms: int) -> None:
         self._n_per_s = n_per_s
         self._n_tokens = float(n_per_s)
-        self._filled_at_ms = now_ms
+        self._refilled_at_ms = now_ms
 
     def take(self, now_ms: int) -> int:
         """Take a token and return 0, or return the time in ms until there is one."""
-        elapsed_ms = max(0, now_ms - self._filled_at_ms)
-        self._filled_at_ms = now_ms
+        elapsed_ms = max(0, now_ms - self._refilled_at_ms)
+        self._refilled_at_ms = now_ms
         filled = self._n_tokens + elapsed_ms * self._n_per_s / 1000
         self._n_tokens = min(self._n_per_s, filled)
         if self._n_tokens >= 1:
--- a/packages/pepperstair-core/pepperstair_core/following.py
+++ b/packages/pepperstair-core/pepperstair_core/following.py
@@ -1,8 +1,8 @@
-"""Which versions of a document that is kept elsewhere are put in force.
+"""Selection of the version in force of a document that is stored externally.
 
 Operators write the whole configuration into one row of a store and number its
-versions themselves. A daemon follows that row; what it reads may come late, out
-of order, twice, or broken.
+versions themselves. A daemon follows that row; documents may arrive late, out of
+order, repeatedly, or corrupt.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class CallerLimits(Struct, frozen=True):
-    """What callers may send and how long they may take; sizes in bytes."""
+    """Size and time limits for callers' requests; sizes in bytes."""
 
     header_max_bytes: int
     body_max_bytes: int
@@ -27,7 +27,7 @@
 
 
 class FollowedDocument(Struct, frozen=True):
-    """One whole version of the followed document, read and checked."""
+    """One complete version of the followed document, parsed and validated."""
 
     version: int
     intent: Intent
@@ -39,7 +39,7 @@
 
 
 class Offer(Enum):
-    """What became of a document that was offered."""
+    """The result of `Following.offer`."""
 
     IN_FORCE = auto()
     OLDER = auto()
@@ -48,11 +48,11 @@
 
 
 class Following:
-    """The version in force, which only ever rises, and the last bad document.
+    """The document in force, whose version only increases, and the last rejected one.
 
-    A proxy that went back to an older version would send requests to services
-    that the operators have just moved them away from. A document that can't be
-    read leaves the last good one in force as a whole.
+    A proxy that returned to an older version would send requests to services that the
+    operators have just moved them away from. If a document can't be parsed, the last
+    valid one stays in force as a whole.
     """
 
     def __init__(self, read: DocumentReader) -> None:
@@ -63,11 +63,11 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 for none."""
+        """Return the version in force, 0 if none."""
         return 0 if self.document is None else self.document.version
 
     def offer(self, data: bytes) -> Offer:
-        """Take a document from wherever it came and say what became of it."""
+        """Put a document in force if it is valid and newer; return the result."""
         if self.document is not None and data == self.document.data:
             return Offer.OLDER
         if data == self._rejected:
--- a/packages/pepperstair-core/pepperstair_core/rendezvous.py
+++ b/packages/pepperstair-core/pepperstair_core/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every daemon picks the same few members, without asking.
+"""Rendezvous hashing: every daemon selects the same members without coordination.
 
 >>> len(highest("bell", ["a", "b", "c"], 2))
 2
@@ -12,7 +12,7 @@
 
 
 def weight(key: str, name: str) -> int:
-    """Return the weight of a name for a key: the same on every daemon."""
+    """Return the weight of a name for a key, which is the same on every daemon."""
     digest = hashlib.blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
--- a/packages/pepperstair-core/pepperstair_core/shared_reading.py
+++ b/packages/pepperstair-core/pepperstair_core/shared_reading.py
@@ -1,11 +1,11 @@
-"""When a daemon reads a table that the whole fleet follows.
-
-All daemons compute the same order of readers from the members. The first few watch the
-table all the time. Each answer confirms that a version was the newest at that moment,
-and the daemons pass this confirmation on to each other. A daemon whose last one is too
-old reads for itself, those early in the order first, so that mostly one read replaces a
-watch that hangs. Nobody is elected: daemons that see other members read a little more
-often than needed, and never too seldom.
+"""Scheduling of reads of a table that the whole fleet follows.
+
+All daemons compute the same ranking of readers from the member list. The first
+`N_WATCHERS` watch the table continuously. Each answer confirms that a version was the
+newest at that moment, and the daemons forward this confirmation to each other. A daemon
+whose last confirmation is too old reads the table itself, those of lower rank first, so
+that usually a single read replaces a watch that hangs. There is no election: daemons
+whose member lists differ read slightly more often than needed, and never too rarely.
 """
 
 from __future__ import annotations
@@ -19,46 +19,49 @@
 from .members import Member, MemberState
 from .rendezvous import weight
 
-# Daemons that watch the table all the time.
+# Number of daemons that watch the table continuously.
 N_WATCHERS: Final = 2
-# The watches of the first one end after this share of the time in which a version has
-# to be in force: all others go by their answers.
-CONFIRMED_SHARE: Final = 0.45
-# Those of the others last up to this: they bring a version where the first one hangs.
-LONG_WATCH_MS: Final = 10_000.0
-# The age of a confirmation at which the first of the other readers reads, and at which
-# the last ones do, as shares of the time in which a version has to be in force.
+# Age of the last confirmation at which a watch of the first watcher ends, as a share of
+# the time in which a version has to be in force: all other daemons rely on its answers.
+FIRST_WATCH_SHARE: Final = 0.45
+# Maximum duration of a watch of the other watchers, which deliver a version if the
+# watch of the first one hangs.
+STANDBY_WATCH_MS: Final = 10_000.0
+# Age of a confirmation at which the first of the remaining daemons reads, and the range
+# of ages at which the last ones do, as shares of the time in which a version has to be
+# in force.
 FIRST_READ_SHARE: Final = 0.6
 LAST_READ_SHARE: Final = 0.7
 LAST_READ_SPREAD_SHARE: Final = 0.1
-# How much later each next reader reads: about the time of a read and of its way
-# through the fleet.
+# Delay between the reads of consecutive ranks: about the time of a read and of its
+# propagation through the fleet.
 READER_STEP_MS: Final = 100.0
-# A daemon that starts waits so long for a neighbour's copy before it reads; of those
-# that start together one reads first.
-START_MIN_MS: Final = 100.0
-START_SPREAD_MS: Final = 250.0
-# A daemon that has just started does not know all members, and so not its place.
-JOINING_MS: Final = 1_000.0
-# A daemon whose read failed leaves watching to others for so long.
-FAILED_READER_MS: Final = 5_000.0
-# How much newer a confirmation must be to be passed on, as a share of the age at which
-# the first of the other readers reads.
-NEWER_SHARE: Final = 0.25
-# With the table away, this many daemons try it at the usual pace, and all others so
-# many times more seldom: they hear of its return from those.
-N_RETRYING: Final = 8
-RETRY_FACTOR: Final = 3.0
+# Delay before the first read of a starting daemon, which may receive a neighbour's copy
+# in the meantime. The jitter lets one of the daemons that start together read first.
+START_DELAY_MIN_MS: Final = 100.0
+START_DELAY_SPREAD_MS: Final = 250.0
+# Time until a starting daemon knows all members, and so its rank.
+MEMBERSHIP_SETTLE_MS: Final = 1_000.0
+# Time for which a daemon does not watch after a failed read.
+READ_FAILURE_HOLDOFF_MS: Final = 5_000.0
+# How much newer than the last one a confirmation must be to be forwarded, as a share of
+# the age at which the first of the remaining daemons reads.
+FORWARD_SHARE: Final = 0.25
+# While the table is unavailable, this many daemons retry at the usual interval. All
+# others retry at an interval longer by this factor: those daemons notify them once the
+# table is available again.
+N_FAST_RETRIERS: Final = 8
+SLOW_RETRY_FACTOR: Final = 3.0
 
 
 class ReadSchedule:
-    """When this daemon reads the table next, from what it has heard and read.
+    """Computes when this daemon next reads the table, from confirmations and failures.
 
-    `bound_ms` is the time in which a version has to be in force everywhere, and
-    `read_ms` what the VM's link takes for a large document: a daemon that starts
-    leaves the first read to those with wider links for so long. Times are
-    in milliseconds of one clock that never goes back, and `place` is the number of
-    daemons that come before this one in the order of readers.
+    `bound_ms` is the time in which a version has to be in force everywhere. `read_ms`
+    is the transfer time of a large document on the VM's link: a starting daemon delays
+    its first read by it, in favour of daemons with faster links. Times are milliseconds
+    of one monotonic clock. `rank` is the number of daemons ranked before this one as
+    readers.
 
     >>> schedule = ReadSchedule(2000.0, 0.0, Random(1))
     >>> schedule.confirm(5000.0)
@@ -75,92 +78,104 @@
         self._rng = rng
         self._read_ms = read_ms
         self._start_ms = start_ms
-        self._first_ms = start_ms + START_MIN_MS + rng.random() * START_SPREAD_MS
+        self._first_read_ms = (
+            start_ms + START_DELAY_MIN_MS + rng.random() * START_DELAY_SPREAD_MS
+        )
         self._last_read_share = LAST_READ_SHARE + rng.random() * LAST_READ_SPREAD_SHARE
-        self._failed_ms = -math.inf
+        self._read_failed_ms = -math.inf
         self.bound_ms = bound_ms
         self.confirmed_ms = -math.inf
 
     @property
     def max_age_ms(self) -> float:
-        """Return the age of a confirmation at which the next reader reads."""
+        """Return the age of a confirmation at which the next daemon reads."""
         return FIRST_READ_SHARE * self.bound_ms
 
     @property
     def is_confirmed(self) -> bool:
-        """Return whether the version in force was ever known to be the newest."""
+        """Return whether the version in force was ever confirmed as the newest."""
         return self.confirmed_ms != -math.inf
 
     def confirm(self, as_of_ms: float) -> bool:
-        """Take that the version in force was the newest at a moment.
+        """Record that the version in force was the newest at `as_of_ms`.
 
-        Return whether it is enough newer than the last confirmation to be passed on.
+        Return whether this is enough newer than the last confirmation to be forwarded.
         """
         newer_ms = as_of_ms - self.confirmed_ms
         self.confirmed_ms = max(self.confirmed_ms, as_of_ms)
-        return newer_ms > NEWER_SHARE * self.max_age_ms
+        return newer_ms > FORWARD_SHARE * self.max_age_ms
 
     def fail(self, now_ms: float) -> None:
-        """Take note that an own read has failed."""
-        self._failed_ms = now_ms
+        """Record that a read of this daemon has failed."""
+        self._read_failed_ms = now_ms
 
-    def is_watcher(self, place: int, now_ms: float) -> bool:
-        """Return whether this daemon watches the table all the time."""
-        if now_ms - self._start_ms < JOINING_MS:
+    def is_watcher(self, rank: int, now_ms: float) -> bool:
+        """Return whether this daemon watches the table continuously."""
+        if now_ms - self._start_ms < MEMBERSHIP_SETTLE_MS:
             return False
-        return place < N_WATCHERS and now_ms - self._failed_ms >= FAILED_READER_MS
+        return (
+            rank < N_WATCHERS
+            and now_ms - self._read_failed_ms >= READ_FAILURE_HOLDOFF_MS
+        )
 
-    def due_ms(self, place: int, now_ms: float) -> float:
-        """Return when to read next if nothing is confirmed until then."""
+    def due_ms(self, rank: int, now_ms: float) -> float:
+        """Return the time of the next read, unless a confirmation arrives before."""
         if not self.is_confirmed:
-            return self._first_ms + (self._read_ms if place >= N_WATCHERS else 0.0)
-        if self.is_watcher(place, now_ms):
+            return self._first_read_ms + (self._read_ms if rank >= N_WATCHERS else 0.0)
+        if self.is_watcher(rank, now_ms):
             return now_ms
-        steps_ms = max(0, place - N_WATCHERS) * READER_STEP_MS
-        in_order_ms = self.max_age_ms + steps_ms
-        last_ms = self._last_read_share * self.bound_ms
-        if now_ms - self._failed_ms < FAILED_READER_MS:
-            in_order_ms = last_ms
-        return self.confirmed_ms + min(in_order_ms, last_ms)
-
-    def backoff_factor(self, place: int) -> float:
-        """Return how much longer than usual to wait after failed reads."""
-        return 1.0 if place < N_RETRYING else RETRY_FACTOR
-
-    def watch_ms(self, place: int, now_ms: float) -> int:
-        """Return how long the next watch of a watcher lasts.
-
-        After a rest, or a confirmation of somebody else, that of the first one ends
-        when the next confirmation is due.
+        steps_ms = max(0, rank - N_WATCHERS) * READER_STEP_MS
+        read_age_ms = self.max_age_ms + steps_ms
+        last_read_age_ms = self._last_read_share * self.bound_ms
+        if now_ms - self._read_failed_ms < READ_FAILURE_HOLDOFF_MS:
+            read_age_ms = last_read_age_ms
+        return self.confirmed_ms + min(read_age_ms, last_read_age_ms)
+
+    def backoff_factor(self, rank: int) -> float:
+        """Return the factor for the retry interval after failed reads."""
+        return 1.0 if rank < N_FAST_RETRIERS else SLOW_RETRY_FACTOR
+
+    def watch_ms(self, rank: int, now_ms: float) -> int:
+        """Return the duration of a watcher's next watch.
+
+        A watch of the first watcher ends when the next confirmation is due, also if it
+        starts after a pause or after another daemon's confirmation.
         """
-        if place == 0:
-            due_ms = self.confirmed_ms + CONFIRMED_SHARE * self.bound_ms
+        if rank == 0:
+            due_ms = self.confirmed_ms + FIRST_WATCH_SHARE * self.bound_ms
             return max(0, int(due_ms - now_ms))
-        return int(LONG_WATCH_MS * self._rng.uniform(0.6, 1.0))
+        return int(STANDBY_WATCH_MS * self._rng.uniform(0.6, 1.0))
 
 
 def place_among_readers(own: Member, members: Iterable[Member], key: str) -> int:
-    """Return how many living members come before this one in the order of readers.
+    """Return how many live members are ranked before this one as readers.
 
-    Those with the widest links come first: on a narrow one the document takes longer
-    than the whole way through the fleet.
+    Members with the fastest links come first: on a slow link the transfer of the
+    document takes longer than its propagation through the fleet.
     """
-    own_rank = _rank(own, key)
+    own_sort_key = _sort_key(own, key)
     return sum(
-        _rank(member, key) > own_rank
+        _sort_key(member, key) > own_sort_key
         for member in members
         if member.state is MemberState.ALIVE and member.vm != own.vm
     )
 
 
-def _rank(member: Member, key: str) -> tuple[float, int]:
-    """Return the rank of a reader; links count as alike up to twice the pace."""
-    pace = math.floor(math.log2(member.link_mbps)) if member.link_mbps else math.inf
-    return pace, _weight(key, member.vm)
+def _sort_key(member: Member, key: str) -> tuple[float, int]:
+    """Return the sort key of a reader.
+
+    The link class is the binary logarithm of the bandwidth, rounded down, so that links
+    of similar speed, up to a factor of two, count as equal. A link of unknown bandwidth
+    counts as the fastest.
+    """
+    link_class = (
+        math.floor(math.log2(member.link_mbps)) if member.link_mbps else math.inf
+    )
+    return link_class, _cached_weight(key, member.vm)
 
 
 @functools.lru_cache(maxsize=4_096)
-def _weight(key: str, name: str) -> int:
+def _cached_weight(key: str, name: str) -> int:
     return weight(key, name)
 
 
--- a/packages/pepperstair-core/pepperstair_core/versions.py
+++ b/packages/pepperstair-core/pepperstair_core/versions.py
@@ -1,8 +1,8 @@
 """Versions of a customer's configuration: snapshots, heads and deltas.
 
-A snapshot is the canonical msgpack form of an intent. Its digest names it in
+A snapshot is the canonical msgpack encoding of an intent. Its digest is its key in
 the object store and proves, after a delta was applied, that the result is the
-one that was accepted.
+accepted version.
 """
 
 from __future__ import annotations
@@ -46,8 +46,8 @@
 class Head(ArrayRecord):
     """The newest accepted version of one customer.
 
-    `accepted_at_ms` is the accepting daemon's wall clock, for convergence
-    times only: no decision depends on it.
+    `accepted_at_ms` is the accepting daemon's wall-clock time. It is used only to
+    report convergence times: no decision depends on it.
     """
 
     customer: str
@@ -59,7 +59,7 @@
 
 
 class Snapshot(Struct, frozen=True):
-    """One whole version of a customer's configuration; never changed."""
+    """One complete, immutable version of a customer's configuration."""
 
     head: Head
     body: bytes
@@ -69,8 +69,7 @@
 class Delta(ArrayRecord):
     """The difference between two versions of one customer.
 
-    It applies only to exactly `base_version`; `head.digest` is the digest of
-    the result.
+    It applies to `base_version` only; `head.digest` is the digest of the result.
     """
 
     base_version: int
@@ -79,17 +78,20 @@
 
 
 def encode_intent(intent: Intent) -> bytes:
-    """Return the canonical bytes of an intent: equal intents, equal bytes."""
-    return msgpack.packb(_sorted(intent_to_table(intent)), use_bin_type=True)
+    """Return the canonical encoding of an intent: equal intents give equal bytes."""
+    return msgpack.packb(_with_sorted_keys(intent_to_table(intent)), use_bin_type=True)
 
 
 def digest_of(body: bytes) -> str:
-    """Return the digest that names a snapshot's body."""
+    """Return the digest that identifies a snapshot's body."""
     return hashlib.blake2b(body, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def make_snapshot(head: Head, body: bytes) -> Result[Snapshot, list[Fault]]:
-    """Check a body against its head and read it, whole or not at all."""
+    """Verify a body against its head's digest and parse it.
+
+    Return the faults of a body that does not match or can't be parsed as a whole.
+    """
     if digest_of(body) != head.digest:
         return Err([Fault(head.customer, f"a body with digest {head.digest}")])
     try:
@@ -103,7 +105,7 @@
 
 
 def make_delta(base: Snapshot, target: Snapshot) -> Delta:
-    """Return what changed from one version to a later one."""
+    """Return the delta from one version to a later one."""
     old = msgpack.unpackb(base.body, raw=False)
     new = msgpack.unpackb(target.body, raw=False)
     patch: dict[str, Any] = {}
@@ -120,11 +122,11 @@
 
 
 def apply_delta(base: Snapshot, delta: Delta) -> Result[Snapshot, list[Fault]]:
-    """Build the next snapshot, or say why the delta does not lead to it.
+    """Return the snapshot that a delta leads to, or the faults of the delta.
 
-    Only what the delta sets is read anew: reading a document of 2000 routes
-    whole would hold the event loop for longer than a call may take, at every
-    change. The result is checked as a whole all the same.
+    Only the records that the delta sets are parsed: parsing a whole document of 2000
+    routes at every change would block the event loop for longer than a call may take.
+    The result is still validated as a whole.
     """
     head = delta.head
     if base.head.version != delta.base_version:
@@ -153,7 +155,7 @@
 def _patched_intent(
     base: Intent, table: dict[str, Any], patch: dict[str, Any]
 ) -> Result[Intent, list[Fault]]:
-    """Read the records that a patch sets, and keep those that it leaves alone."""
+    """Parse the records that a patch sets, and keep the unchanged ones."""
     changed: dict[str, tuple[Any, ...]] = {}
     for key, value in patch.items():
         name = _LIST_KEYS[key]
@@ -170,16 +172,16 @@
 
 
 def _list_patch(old: list, new: list, key: str) -> dict[str, Any]:
-    """Return the items to set, and the order of names where it changed."""
+    """Return the items to set and to remove, and the order of names if it changed."""
     if old == new:
         return {}
     before = {item[key]: item for item in old}
     patch: dict[str, Any] = {
         "set": [item for item in new if before.get(item[key]) != item]
     }
-    gone = sorted(before.keys() - {item[key] for item in new})
-    if gone:
-        patch["gone"] = gone
+    removed = sorted(before.keys() - {item[key] for item in new})
+    if removed:
+        patch["gone"] = removed
     order = [item[key] for item in new]
     if order != [item[key] for item in _patched_list(old, patch, key)]:
         patch["order"] = order
@@ -196,11 +198,11 @@
     return [items[name] for name in order]
 
 
-def _sorted(value: Any) -> Any:
+def _with_sorted_keys(value: Any) -> Any:
     if isinstance(value, dict):
-        return {key: _sorted(value[key]) for key in sorted(value)}
+        return {key: _with_sorted_keys(value[key]) for key in sorted(value)}
     if isinstance(value, list):
-        return [_sorted(item) for item in value]
+        return [_with_sorted_keys(item) for item in value]
     return value
 
 
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -10,7 +10,7 @@
 
 from pepperstair_core.members import Member, MemberState
 from pepperstair_core.shared_reading import (
-    JOINING_MS,
+    MEMBERSHIP_SETTLE_MS,
     N_WATCHERS,
     ReadSchedule,
     place_among_readers,
@@ -275,8 +275,8 @@
 def test_daemon_that_starts_takes_no_place_among_the_watchers():
     """Guards against a herd of daemons that each take themselves for the first."""
     schedule = ReadSchedule(BOUND_MS, 0.0, random.Random(1))
-    assert not schedule.is_watcher(0, JOINING_MS - 1)
-    assert schedule.is_watcher(0, JOINING_MS)
+    assert not schedule.is_watcher(0, MEMBERSHIP_SETTLE_MS - 1)
+    assert schedule.is_watcher(0, MEMBERSHIP_SETTLE_MS)
 
 
 def test_readers_with_narrow_links_come_last():
