--- a/packages/pepperstair-core/pepperstair_core/rendezvous.py
+++ b/packages/pepperstair-core/pepperstair_core/rendezvous.py
@@ -1,6 +1,6 @@
 """Rendezvous hashing: every daemon selects the same members without coordination.
 
->>> len(highest("bell", ["a", "b", "c"], 2))
+>>> len(highest("poller/zone-a", ["a", "b", "c"], 2))
 2
 """
 
--- a/tests/distribution/__init__.py
+++ b/tests/distribution/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of the distribution's decisions."""
+"""Tests of the configuration distribution."""
 
 from __future__ import annotations
--- a/tests/distribution/fake_network.py
+++ b/tests/distribution/fake_network.py
@@ -1,4 +1,4 @@
-"""A few distributions joined by queues in memory, with a platform beside them."""
+"""Distributions connected by in-memory queues, with a fake platform."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def make_intent(customer: str, label: str, n_routes: int = 3) -> Intent:
-    """Return a document whose routes differ with the label."""
+    """Return a document whose routes depend on the label."""
     routes = tuple(
         Route(f"route-{number}", f"/{label}/{number}", "ledger")
         for number in range(n_routes)
@@ -32,7 +32,7 @@
 
 @dataclass
 class Node:
-    """One running distribution and what it has put in force."""
+    """One running distribution and the versions it has put in force."""
 
     distribution: d.Distribution
     incarnation: int
@@ -43,7 +43,7 @@
 
 
 class FakeNetwork:
-    """Delivers frames in a seeded order; drops, repeats and cuts on demand."""
+    """Delivers frames in a seeded order, and drops, repeats or cuts them on demand."""
 
     def __init__(self, seed: int = 1, timing: d.Timing | None = None) -> None:
         self.rng = random.Random(seed)
@@ -59,13 +59,13 @@
         self.drop_probability = 0.0
         self.repeat_probability = 0.0
         self.cut: Callable[[str, str], bool] = lambda a, b: False
-        self.silent: set[str] = set()
+        self.suspended_vms: set[str] = set()
         self.sent: dict[str, int] = {}
         self._queue: list[tuple[int, int, str, int, str, Any]] = []
         self._n_queued = 0
 
     def start(self, vm: str, zone: str = "z") -> Node:
-        """Start a daemon, or start it again with nothing in its hands."""
+        """Start a daemon, or restart it with empty state."""
         self.zones[vm] = zone
         rng = random.Random(f"{vm}/{self.now_ms}/{self.rng.random()}")
         node = Node(d.Distribution(vm, zone, rng, self.timing), self.now_ms + 1)
@@ -74,27 +74,30 @@
         return node
 
     def kill(self, vm: str) -> None:
-        """End a daemon: its streams close and its memory is gone."""
+        """Kill a daemon: its streams are closed and its state is lost."""
         del self.nodes[vm]
         for other, node in self.nodes.items():
             if vm in node.neighbours:
                 node.neighbours.discard(vm)
                 self.handle(other, d.NeighbourDown(vm))
-        self._tell_members()
+        self._notify_member_changes()
 
     def set_cut(self, cut: Callable[[str, str], bool]) -> None:
-        """Cut streams between pairs of daemons and join the others again."""
+        """Cut the streams between pairs of daemons and reconnect all others."""
         self.cut = cut
         self._connect()
 
     def accept(self, vm: str, intent: Intent) -> Snapshot:
-        """Commit a change at the platform and hand it to one daemon."""
+        """Commit a change on the platform and pass it to the accepting daemon."""
         snapshot = self.commit(intent, vm)
         self.handle(vm, d.ChangeAccepted(snapshot))
         return snapshot
 
     def commit(self, intent: Intent, accepted_by: str) -> Snapshot:
-        """Commit a change at the platform; its daemon dies before it tells."""
+        """Commit a change on the platform without notifying any daemon.
+
+        This simulates an accepting daemon that crashes before it announces the change.
+        """
         body = encode_intent(intent)
         customer = intent.customer
         known = self.heads.get(customer)
@@ -107,20 +110,20 @@
         return Snapshot(head, body, intent)
 
     def run(self, duration_ms: int) -> None:
-        """Let time pass."""
+        """Advance the virtual time."""
         until_ms = self.now_ms + duration_ms
         while self.now_ms < until_ms:
             for vm in list(self.nodes):
-                if vm not in self.silent:
+                if vm not in self.suspended_vms:
                     self.handle(vm, d.Tick())
             self._deliver_until(self.now_ms + TICK_MS)
             self.now_ms += TICK_MS
 
     def run_until(self, condition: Callable[[], bool], limit_ms: int = 30_000) -> int:
-        """Let time pass until a condition holds and return how much passed."""
+        """Advance the time until a condition holds, and return the elapsed time."""
         start_ms = self.now_ms
         while not condition():
-            assert self.now_ms - start_ms < limit_ms, "the condition was never met"
+            assert self.now_ms - start_ms < limit_ms, "condition not met in time"
             self.run(TICK_MS)
         return self.now_ms - start_ms
 
@@ -133,20 +136,20 @@
         )
 
     def handle(self, vm: str, event: d.DistributionEvent) -> None:
-        """Give a daemon an event, and do at once what it decides."""
+        """Pass an event to a daemon, and execute its actions immediately."""
         node = self.nodes[vm]
         for action in node.distribution.handle(event, self.now_ms):
             node.actions.append(action)
-            self._carry_out(vm, node, action)
+            self._execute(vm, node, action)
         if node.distribution.state.inbox and not isinstance(event, d.Work):
             while node.distribution.state.inbox:
                 self.handle(vm, d.Work())
 
     def deliver(self, sender: str, receiver: str, frame: Any) -> None:
-        """Hand a frame to a daemon now."""
+        """Deliver a frame to a daemon immediately."""
         self.handle(receiver, d.FrameReceived(sender, frame))
 
-    def _carry_out(self, vm: str, node: Node, action: Any) -> None:
+    def _execute(self, vm: str, node: Node, action: Any) -> None:
         match action:
             case d.Send(receiver, frame):
                 self._send(vm, receiver, frame)
@@ -157,22 +160,24 @@
                 node.history.setdefault(head.customer, []).append(head.version)
             case d.ReadBells():
                 bucket_tokens = dict(self.bucket_tokens)
-                self._answer(vm, node, d.BellsRead(self._if_up(bucket_tokens)))
+                self._answer(vm, node, d.BellsRead(self._unless_out(bucket_tokens)))
             case d.ReadHeads(bucket, number):
                 heads = tuple(
                     head
                     for customer, head in self.heads.items()
                     if bucket in (None, bucket_of(customer))
                 )
-                self._answer(vm, node, d.HeadsRead(bucket, self._if_up(heads), number))
+                self._answer(
+                    vm, node, d.HeadsRead(bucket, self._unless_out(heads), number)
+                )
             case d.ReadHead(customer):
-                head = self._if_up(self.heads.get(customer))
+                head = self._unless_out(self.heads.get(customer))
                 self._answer(vm, node, d.HeadRead(customer, head))
             case d.FetchObject(head):
-                body = self._if_up(self.objects.get(head.digest))
+                body = self._unless_out(self.objects.get(head.digest))
                 self._answer(vm, node, d.ObjectFetched(head, body))
 
-    def _if_up(self, answer: Any) -> Any:
+    def _unless_out(self, answer: Any) -> Any:
         return None if self.is_platform_out else answer
 
     def _answer(self, vm: str, node: Node, event: d.DistributionEvent) -> None:
@@ -202,7 +207,11 @@
             due_ms, _, vm, incarnation, sender, item = heapq.heappop(self._queue)
             self.now_ms = max(self.now_ms, due_ms)
             node = self.nodes.get(vm)
-            if node is None or node.incarnation != incarnation or vm in self.silent:
+            if (
+                node is None
+                or node.incarnation != incarnation
+                or vm in self.suspended_vms
+            ):
                 continue
             if not sender:
                 self.handle(vm, item)
@@ -211,8 +220,8 @@
         self.now_ms = until_ms - TICK_MS
 
     def _connect(self) -> None:
-        """Join every pair that isn't cut, up to what the membership keeps."""
-        self._tell_members()
+        """Connect every pair that isn't cut, and disconnect the others."""
+        self._notify_member_changes()
         for vm, node in self.nodes.items():
             wanted = {o for o in self.nodes if o != vm and not self.cut(vm, o)}
             for other in sorted(node.neighbours - wanted):
@@ -225,7 +234,7 @@
             for other in sorted(node.neighbours - known):
                 self.handle(vm, d.NeighbourUp(other))
 
-    def _tell_members(self) -> None:
+    def _notify_member_changes(self) -> None:
         for vm in self.nodes:
             members = tuple(self._members(vm))
             self.handle(vm, d.MembersChanged(members))
@@ -242,8 +251,8 @@
     return weight("bucket", customer) % N_BUCKETS
 
 
-def versions_only_rise(network: FakeNetwork) -> bool:
-    """Return whether no daemon ever moved back."""
+def versions_only_increase(network: FakeNetwork) -> bool:
+    """Return whether no daemon ever returned to an older version."""
     return all(
         versions == sorted(set(versions))
         for node in network.nodes.values()
@@ -251,7 +260,7 @@
     )
 
 
-def started(n_nodes: int, seed: int = 1, n_zones: int = 1) -> FakeNetwork:
+def start_ready_network(n_nodes: int, seed: int = 1, n_zones: int = 1) -> FakeNetwork:
     """Return a network of ready daemons."""
     network = FakeNetwork(seed)
     for number in range(n_nodes):
--- a/tests/distribution/test_differential.py
+++ b/tests/distribution/test_differential.py
@@ -1,4 +1,4 @@
-"""The distribution and the naive version end in the same state."""
+"""Differential test of the distribution against the naive implementation."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from .fake_network import (
     FakeNetwork,
     make_intent,
-    started,
-    versions_only_rise,
+    start_ready_network,
+    versions_only_increase,
 )
 
 N_NODES = 5
@@ -28,25 +28,25 @@
 )
 
 
-def do_step(network: FakeNetwork, number: int, step: tuple[str, int, str]) -> None:
-    """Do one step of a generated history."""
-    what, node, customer = step
+def execute_step(network: FakeNetwork, number: int, step: tuple[str, int, str]) -> None:
+    """Execute one step of a generated history."""
+    operation, node, customer = step
     vm = f"vm-{node}"
-    if what == "accept" and not network.is_platform_out:
+    if operation == "accept" and not network.is_platform_out:
         network.accept(vm, make_intent(customer, f"c{number}"))
-    elif what == "commit" and not network.is_platform_out:
+    elif operation == "commit" and not network.is_platform_out:
         network.commit(make_intent(customer, f"c{number}"), vm)
-    elif what == "restart":
+    elif operation == "restart":
         network.kill(vm)
         network.start(vm, network.zones[vm])
-    elif what == "cut":
+    elif operation == "cut":
         network.set_cut(lambda a, b: (a == vm) != (b == vm))
-    elif what == "join":
+    elif operation == "join":
         network.set_cut(lambda a, b: False)
-    elif what in ("outage", "recover"):
-        network.is_platform_out = what == "outage"
-    network.run(100 if what != "wait" else 2500)
-    assert versions_only_rise(network)
+    elif operation in ("outage", "recover"):
+        network.is_platform_out = operation == "outage"
+    network.run(100 if operation != "wait" else 2500)
+    assert versions_only_increase(network)
 
 
 @settings(
@@ -61,26 +61,26 @@
     st.sampled_from((0.0, 0.3)),
     st.sampled_from((0.0, 0.3)),
 )
-def test_ends_as_the_naive_version_does(seed, steps, dropped, repeated):
-    """Frames are lost, repeated and overtake each other while daemons restart,
-    a daemon is cut off and the platform goes out.
+def test_converges_to_the_state_of_the_naive_version(seed, steps, dropped, repeated):
+    """Frames are lost, duplicated and reordered while daemons restart, a daemon is
+    partitioned and the platform has an outage.
 
-    Once all is well again, every proxy has what the naive version has, and on
-    the way none moved back.
+    After recovery every proxy has the versions of the naive implementation, and no
+    proxy ever returned to an older one.
     """
-    network = started(N_NODES, seed, n_zones=2)
+    network = start_ready_network(N_NODES, seed, n_zones=2)
     network.drop_probability = dropped
     network.repeat_probability = repeated
     for number, step in enumerate(steps):
-        do_step(network, number, step)
+        execute_step(network, number, step)
     network.drop_probability = network.repeat_probability = 0.0
     network.is_platform_out = False
     network.set_cut(lambda a, b: False)
-    wanted = poll({}, network.heads, network.objects)
+    expected = poll({}, network.heads, network.objects)
     network.run_until(
         lambda: all(
-            node.in_force == wanted and node.distribution.floor.is_known
+            node.in_force == expected and node.distribution.floor.is_known
             for node in network.nodes.values()
         )
     )
-    assert versions_only_rise(network)
+    assert versions_only_increase(network)
--- a/tests/distribution/test_in_force.py
+++ b/tests/distribution/test_in_force.py
@@ -1,4 +1,4 @@
-"""A version goes in force only once enough others hold it."""
+"""Tests that a version goes in force only once enough other members hold it."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 def snapshot(version: int) -> Snapshot:
-    """Return a version of lantern as its accepting daemon has it."""
+    """Return a version of customer lantern as committed by its accepting daemon."""
     intent = make_intent("lantern", f"v{version}")
     body = encode_intent(intent)
     head = Head("lantern", version, digest_of(body), 0, "vm-0", f"change-{version}")
     return Snapshot(head, body, intent)
 
 
-def lone_distribution(n_members: int, *neighbours: str) -> d.Distribution:
+def make_distribution(n_members: int, *neighbours: str) -> d.Distribution:
     """Return one distribution in a fleet, with streams to some members."""
     distribution = d.Distribution("vm-0", "z", Random(1))
     members = tuple(
@@ -38,14 +38,14 @@
     return sum(isinstance(action, d.PutInForce) for action in actions)
 
 
-def test_one_holder_besides_the_own_one_is_not_enough():
-    """A daemon applies a version that one other daemon holds, and both die while
-    the platform is out.
+def test_one_other_holder_is_not_enough():
+    """A daemon applies a version that one other daemon holds, and both crash during a
+    platform outage.
 
-    Nobody would know the version any more: the restarted daemon would serve an
-    older one than its callers had seen.
+    The version would be lost: the restarted daemon would serve an older one than its
+    callers have seen.
     """
-    distribution = lone_distribution(3, "vm-1", "vm-2")
+    distribution = make_distribution(3, "vm-1", "vm-2")
     actions = list(distribution.handle(d.ChangeAccepted(snapshot(1)), 0))
     assert n_put_in_force(actions) == 0
     first = d.FrameReceived("vm-1", Have("lantern", 1))
@@ -54,13 +54,13 @@
     assert n_put_in_force(distribution.handle(second, 20)) == 1
 
 
-def test_daemon_that_is_cut_off_applies_after_a_bounded_wait():
-    """A daemon loses its streams while the others are still listed as alive.
+def test_isolated_daemon_applies_after_a_bounded_wait():
+    """A daemon loses its streams while the other members are still listed as alive.
 
-    Without a bound it would hold an accepted version for ever and never apply
-    it; two seconds later it does, and counts that it did so alone.
+    Without a bounded wait it would never apply the version it holds. After two seconds
+    it applies the version and counts it in `n_in_force_alone`.
     """
-    distribution = lone_distribution(3)
+    distribution = make_distribution(3)
     list(distribution.handle(d.ChangeAccepted(snapshot(1)), 0))
     assert n_put_in_force(distribution.handle(d.Tick(), 1950)) == 0
     assert n_put_in_force(distribution.handle(d.Tick(), 2000)) == 1
@@ -68,34 +68,34 @@
 
 
 def test_fleet_of_two_does_not_wait():
-    distribution = lone_distribution(2, "vm-1")
+    distribution = make_distribution(2, "vm-1")
     accepted = distribution.handle(d.ChangeAccepted(snapshot(1)), 0)
     assert n_put_in_force(accepted) == 1
 
 
 def test_versions_go_in_force_during_a_burst():
-    """Changes come faster than neighbours can confirm the newest one.
+    """Changes arrive faster than neighbours can confirm the newest one.
 
-    Were only the newest version counted, no proxy would move until the burst
-    ends.
+    If only the newest version were a candidate, no proxy would apply any version until
+    the burst ends.
     """
-    distribution = lone_distribution(3, "vm-1", "vm-2")
-    put_in_force = 0
+    distribution = make_distribution(3, "vm-1", "vm-2")
+    n_applied = 0
     for version in range(1, 40):
         now_ms = version * 10
         list(distribution.handle(d.ChangeAccepted(snapshot(version)), now_ms))
         for vm in ("vm-1", "vm-2"):
             late = d.FrameReceived(vm, Have("lantern", version - 2))
-            put_in_force += n_put_in_force(distribution.handle(late, now_ms))
-    assert put_in_force > 5
+            n_applied += n_put_in_force(distribution.handle(late, now_ms))
+    assert n_applied > 5
 
 
 def test_older_version_that_arrives_late_is_ignored():
-    """Two updates cross each other in flight and the older one comes last.
+    """Two updates are reordered in flight and the older one arrives last.
 
-    Applying it would take the proxy back to routes that were already replaced.
+    Applying it would return the proxy to routes that were already replaced.
     """
-    distribution = lone_distribution(1)
+    distribution = make_distribution(1)
     list(distribution.handle(d.ChangeAccepted(snapshot(2)), 0))
     late = distribution.handle(d.ChangeAccepted(snapshot(1)), 10)
     assert n_put_in_force(late) == 0
@@ -103,13 +103,13 @@
     assert distribution.state.counters.n_versions_ignored == 1
 
 
-def test_lost_word_of_a_holder_is_asked_for_again():
-    """The frame in which a neighbour says what it holds is lost with its stream.
+def test_lost_announcement_of_a_holder_is_queried_again():
+    """A neighbour's `Have` frame is lost with its stream.
 
-    The version would be held here and never go in force, while every other
-    proxy has it.
+    Without a repeated query the version would stay held here and never go in force,
+    while every other proxy has it.
     """
-    distribution = lone_distribution(3, "vm-1", "vm-2")
+    distribution = make_distribution(3, "vm-1", "vm-2")
     list(distribution.handle(d.ChangeAccepted(snapshot(1)), 0))
     list(distribution.handle(d.FrameReceived("vm-1", Have("lantern", 1)), 10))
     list(distribution.handle(d.Tick(), 100))
--- a/tests/distribution/test_polling.py
+++ b/tests/distribution/test_polling.py
@@ -1,17 +1,17 @@
-"""The platform is read by a few pollers, also when they or it fail."""
+"""Tests that a few pollers read the platform, also when they or the platform fail."""
 
 from __future__ import annotations
 
 from pepperstair_core.distribution.polling import pollers
 
-from .fake_network import make_intent, started
+from .fake_network import make_intent, start_ready_network
 
 
 def test_reads_do_not_grow_with_the_fleet():
-    """Every daemon that polls makes the source's work harder."""
+    """If every daemon polled, the load on the platform would grow with the fleet."""
     n_reads = []
     for n_nodes in (6, 24):
-        network = started(n_nodes, n_zones=2)
+        network = start_ready_network(n_nodes, n_zones=2)
         network.run(2000)
         before = network.n_reads
         network.run(20_000)
@@ -19,29 +19,29 @@
     assert n_reads[1] <= 1.2 * n_reads[0]
 
 
-def test_frozen_pollers_are_passed_over():
-    """Both pollers of the zone freeze, and no one has noticed yet.
+def test_frozen_pollers_are_bypassed():
+    """Both pollers of the zone freeze, and membership has not detected it yet.
 
-    A change whose daemon died would stay unknown to the whole zone; after five
-    seconds without a sign each daemon reads the heads itself.
+    A change whose accepting daemon crashed would stay unknown to the whole zone. After
+    five seconds without a beacon each daemon reads the heads itself.
     """
-    network = started(8)
+    network = start_ready_network(8)
     network.run(3000)
-    network.silent = set(pollers(network.nodes["vm-0"].distribution.state))
+    network.suspended_vms = set(pollers(network.nodes["vm-0"].distribution.state))
     network.commit(make_intent("lantern", "a"), "vm-9")
-    awake = [vm for vm in network.nodes if vm not in network.silent]
-    passed_ms = network.run_until(
-        lambda: all("lantern" in network.nodes[vm].in_force for vm in awake)
+    running_vms = [vm for vm in network.nodes if vm not in network.suspended_vms]
+    elapsed_ms = network.run_until(
+        lambda: all("lantern" in network.nodes[vm].in_force for vm in running_vms)
     )
-    assert 3000 < passed_ms < 9000
+    assert 3000 < elapsed_ms < 9000
 
 
-def test_outage_is_no_retry_storm():
-    """The platform is out for a minute while all daemons want to read it.
+def test_outage_causes_no_retry_storm():
+    """The platform has an outage of one minute.
 
-    If they all tried again and again it would come back into a storm of reads.
+    If all daemons retried throughout, it would recover into a storm of reads.
     """
-    network = started(20, n_zones=2)
+    network = start_ready_network(20, n_zones=2)
     network.run(3000)
     network.is_platform_out = True
     before = network.n_reads
--- a/tests/distribution/test_spreading.py
+++ b/tests/distribution/test_spreading.py
@@ -1,4 +1,4 @@
-"""Versions reach every daemon, whole and at a bounded price."""
+"""Tests that versions reach every daemon completely and at a bounded cost."""
 
 from __future__ import annotations
 
@@ -9,23 +9,28 @@
 from pepperstair_core.versions import digest_of, encode_intent, make_delta
 from pepperstair_core.wire import Busy, DeltaPush, Have, Pull, SnapshotPart
 
-from .fake_network import bucket_of, make_intent, started, versions_only_rise
+from .fake_network import (
+    bucket_of,
+    make_intent,
+    start_ready_network,
+    versions_only_increase,
+)
 
 
 def n_actions(network, kind, *vms: str) -> int:
-    """Return how many actions of a kind some daemons decided on."""
+    """Return how many actions of a kind some daemons have returned."""
     return sum(
         isinstance(action, kind) for vm in vms for action in network.nodes[vm].actions
     )
 
 
 def test_tree_prunes_itself():
-    """Every stream carries every version until the tree has pruned itself.
+    """Every stream carries every version until the tree is pruned.
 
-    Unpruned, control bytes would grow with the number of streams, not with the
+    Without pruning, control bytes would grow with the number of streams instead of the
     number of daemons.
     """
-    network = started(8)
+    network = start_ready_network(8)
     for version in range(1, 6):
         network.sent.clear()
         network.accept("vm-0", make_intent("lantern", f"v{version}"))
@@ -39,43 +44,44 @@
     assert network.sent["DeltaPush"] < 1.2 * delta * len(network.nodes)
 
 
-def test_accepting_daemon_dies_right_after_its_answer():
-    """A change was accepted, and its daemon dies before it told anybody.
+def test_change_survives_a_crash_of_its_accepting_daemon():
+    """A change is accepted, and its daemon crashes before it announces the change.
 
-    Only the pollers can find it; the operator was told that it is accepted.
+    The operator has already received the acceptance, and only the pollers can discover
+    the change.
     """
-    network = started(6, n_zones=2)
+    network = start_ready_network(6, n_zones=2)
     network.commit(make_intent("lantern", "a"), "vm-0")
     network.kill("vm-0")
     assert network.run_until(lambda: network.all_in_force("lantern", 1)) < 3000
 
 
-def test_delta_with_a_bad_digest_is_applied_nowhere():
-    """A delta is damaged, or was made from a base that differs from the held one.
+def test_delta_with_a_bad_digest_is_not_applied():
+    """A delta is corrupt, or was made from a base that differs from the held one.
 
-    Applied unchecked, this proxy would serve routes that nobody accepted.
+    If it were applied unchecked, the proxy would serve routes that nobody accepted.
     """
-    network = started(3)
+    network = start_ready_network(3)
     first = network.accept("vm-0", make_intent("lantern", "a"))
     network.run_until(lambda: network.all_in_force("lantern", 1))
     second = network.commit(make_intent("lantern", "b"), "vm-9")
-    wrong = network.nodes["vm-0"].in_force["lantern"]
+    held_snapshot = network.nodes["vm-0"].in_force["lantern"]
     other = replace(second, body=encode_intent(make_intent("lantern", "c")))
     frame = DeltaPush(replace(make_delta(first, other), head=second.head))
     network.deliver("vm-0", "vm-1", frame)
-    assert network.nodes["vm-1"].in_force["lantern"] == wrong
+    assert network.nodes["vm-1"].in_force["lantern"] == held_snapshot
     assert network.nodes["vm-1"].distribution.state.counters.n_deltas_refused == 1
     network.run_until(lambda: network.all_in_force("lantern", 2))
     assert network.nodes["vm-1"].in_force["lantern"].body == second.body
 
 
-def test_deltas_that_overtake_a_full_pull_are_caught_up_with():
-    """A daemon joins while the customer changes faster than a pull takes.
+def test_deltas_received_during_a_full_pull_are_applied():
+    """A daemon joins while a customer's versions change faster than a pull completes.
 
-    Without the deltas that arrived meanwhile it would stay behind and pull the
-    whole again and again.
+    Without the deltas that arrive during the pull, it would stay behind and repeat the
+    full pull.
     """
-    network = started(4)
+    network = start_ready_network(4)
     versions = [
         network.accept("vm-0", make_intent("lantern", f"v{n}")) for n in range(4)
     ]
@@ -89,7 +95,7 @@
     (part,) = iter_parts_of(versions[1])
     network.deliver("vm-0", "vm-3", part)
     assert distribution.state.customer("lantern").held_version == 4
-    assert versions_only_rise(network)
+    assert versions_only_increase(network)
 
 
 def iter_parts_of(snapshot):
@@ -97,21 +103,21 @@
     return (SnapshotPart(snapshot.head, 0, 1, snapshot.body),)
 
 
-def test_herd_of_pulls_is_bounded():
-    """Half of the fleet comes back at once and pulls everything.
+def test_concurrent_full_pulls_are_bounded():
+    """Most of the fleet restarts at the same time and pulls full snapshots.
 
-    Served all together they would stall the survivors; sent to the object store
-    they would stall the platform.
+    If all pulls were served at once, they would stall the remaining daemons; if all
+    were redirected to the object store, they would stall the platform.
     """
-    network = started(12)
+    network = start_ready_network(12)
     intent = make_intent("lantern", "a", n_routes=1500)
     network.accept("vm-0", intent)
     network.run_until(lambda: network.all_in_force("lantern", 1))
-    herd = [f"vm-{n}" for n in range(3, 12)]
-    for vm in herd:
+    restarted_vms = [f"vm-{n}" for n in range(3, 12)]
+    for vm in restarted_vms:
         network.kill(vm)
     network.is_platform_out = True
-    for vm in herd:
+    for vm in restarted_vms:
         network.start(vm)
     n_served_pulls = [
         len(network.nodes[vm].distribution.state.served_pulls)
@@ -123,13 +129,13 @@
     assert network.all_in_force("lantern", 1)
 
 
-def test_pulls_past_the_bound_are_told_where_else_to_ask():
-    """Six neighbours pull a large snapshot at once, and one of them froze.
+def test_pulls_beyond_the_bound_are_referred_to_other_holders():
+    """Six neighbours pull a large snapshot at the same time, and one of them is frozen.
 
-    Four are served; a place is free again once its receiver has the version,
-    or went silent for too long.
+    Four are served. Capacity becomes free once a receiver announces the version or has
+    been silent for `serving_timeout_ms`.
     """
-    network = started(8)
+    network = start_ready_network(8)
     network.accept("vm-0", make_intent("lantern", "a", n_routes=1500))
     network.run_until(lambda: network.all_in_force("lantern", 1))
     network.nodes["vm-0"].actions.clear()
@@ -150,28 +156,29 @@
     assert pull("vm-6") == "SnapshotPart"
 
 
-def test_sleeping_daemon_is_repaired_by_comparison():
-    """A daemon stands still while a version spreads, with its streams open and
-    the platform out.
+def test_suspended_daemon_is_repaired_by_anti_entropy():
+    """A daemon is suspended while a version is distributed, with its streams open and
+    the platform unavailable.
 
-    Nobody tells it again: only the comparison of digests shows what it missed.
+    The version is not announced to it again: only the comparison of digests reveals
+    what it missed.
     """
-    network = started(5)
+    network = start_ready_network(5)
     network.is_platform_out = True
-    network.silent = {"vm-4"}
+    network.suspended_vms = {"vm-4"}
     network.accept("vm-0", make_intent("lantern", "a"))
     network.run(2000)
-    network.silent = set()
+    network.suspended_vms = set()
     assert network.run_until(lambda: network.all_in_force("lantern", 1)) < 10_000
 
 
-def test_damaged_object_leaves_the_held_version_in_force():
-    """The object store returns a damaged body and no neighbour has the version.
+def test_corrupt_object_leaves_the_held_version_in_force():
+    """The object store returns a corrupt body and no neighbour has the version.
 
-    The version is reported as rejected and the held one stays whole; once the
-    store returns the right body the version goes in force.
+    The version is reported as rejected and the held one stays in force. Once the store
+    returns the right body, the version goes in force.
     """
-    network = started(3)
+    network = start_ready_network(3)
     network.accept("vm-0", make_intent("lantern", "a"))
     network.run_until(lambda: network.all_in_force("lantern", 1))
     bad = network.commit(make_intent("lantern", "b"), "vm-9")
@@ -186,13 +193,13 @@
     network.run_until(lambda: network.all_in_force("lantern", 2))
 
 
-def test_version_that_cannot_be_read_is_not_fetched_again_and_again():
-    """A newer daemon accepted a document that this one can't read.
+def test_unreadable_version_is_not_fetched_repeatedly():
+    """A newer release of the daemon accepted a document that this one can't parse.
 
-    Its digest is right, so fetching it again would change nothing, and each
-    word of a neighbour would start another pull. A later version is taken.
+    Its digest is correct, so fetching it again would not help, and each announcement of
+    a neighbour would start another pull. A later version is still applied.
     """
-    network = started(1)
+    network = start_ready_network(1)
     network.accept("vm-0", make_intent("lantern", "a"))
     table = msgpack.unpackb(network.nodes["vm-0"].in_force["lantern"].body)
     body = msgpack.packb({**table, "later": True})
@@ -209,12 +216,12 @@
 
 
 def test_burst_of_a_large_customer_delays_a_small_one_by_a_turn():
-    """A large customer makes 500 changes at once beside one of a small customer.
+    """A large customer makes 500 changes at the same time as one of a small customer.
 
-    In one line the small customer's proxies would wait for all 500.
+    With a single queue, the small customer's change would wait for all 500.
     """
     outbox = d.Outbox()
-    network = started(1)
+    network = start_ready_network(1)
     base = network.commit(make_intent("lantern", "v0", n_routes=20), "vm-0")
     target = network.commit(make_intent("lantern", "v1", n_routes=20), "vm-0")
     large = DeltaPush(make_delta(base, target))
@@ -230,13 +237,13 @@
 
 
 def test_frozen_neighbour_does_not_fill_the_memory():
-    """A neighbour stops reading while a customer goes on changing.
+    """A neighbour stops reading while a customer's versions keep changing.
 
-    Its deltas would pile up here until this daemon runs out of memory; one word
-    takes their place, and the neighbour pulls when it wakes.
+    The queued deltas would grow until this daemon runs out of memory. A single `Have`
+    replaces them, and the neighbour pulls when it resumes.
     """
     outbox = d.Outbox()
-    network = started(1)
+    network = start_ready_network(1)
     base = network.commit(make_intent("lantern", "v0", n_routes=200), "vm-0")
     target = network.commit(make_intent("lantern", "v1", n_routes=200), "vm-0")
     large = DeltaPush(make_delta(base, target))
--- a/tests/naive/distribution.py
+++ b/tests/naive/distribution.py
@@ -1,7 +1,8 @@
 """The naive distribution: every proxy reads all heads and fetches whole bodies.
 
-It is what the daemon did at first, as a plain function. Slow and costly for the
-source, but simple enough to be right: the real one has to end in its state.
+It is the daemon's first implementation as a plain function: slow and expensive for the
+source, but simple enough to serve as the reference. The real distribution has to reach
+the same final state.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
     heads: Mapping[str, Head],
     objects: Mapping[str, bytes],
 ) -> dict[str, Snapshot]:
-    """Return what is in force after reading every head and every newer body."""
+    """Return the versions in force after reading every head and every newer body."""
     after = dict(in_force)
     for customer, head in heads.items():
         held = after.get(customer)
