--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Following a document: never back, never in part; spread among neighbours."""
+"""Tests of a followed document: versions only increase, apply whole, and propagate."""
 
 from __future__ import annotations
 
@@ -43,24 +43,24 @@
 
 
 def read(data: bytes):
-    """Read a document that is only its version."""
+    """Parse a document that consists only of its version."""
     if not data.isdigit():
         return Err([Fault("document", "digits")])
     return Ok(FollowedDocument(int(data), Intent("platform"), LIMITS, data))
 
 
-def test_version_never_goes_back():
-    """Two answers of the store cross; the older version arrives last."""
+def test_version_never_decreases():
+    """Two answers of the store are reordered; the older version arrives last."""
     following = Following(read)
     offers = [following.offer(data) for data in (b"5", b"7", b"6", b"7", b"5")]
     assert offers == [Offer.IN_FORCE, Offer.IN_FORCE, *[Offer.OLDER] * 3]
     assert following.version == 7
 
 
-def test_document_that_can_not_be_read_leaves_the_last_good_one():
-    """The row holds bytes that are no document, read again with each answer.
+def test_invalid_document_leaves_the_last_valid_one_in_force():
+    """The row contains an invalid document, which is read again with each answer.
 
-    It is said once why; the routes in force stay.
+    Its faults are reported once; the routes in force stay.
     """
     following = Following(read)
     offers = [following.offer(data) for data in (b"5", b"bad", b"bad", b"6")]
@@ -73,7 +73,7 @@
 
 
 class FakeTable:
-    """Gives answers in turn, then waits for ever."""
+    """Returns the given answers in turn, then blocks for ever."""
 
     def __init__(self, *answers) -> None:
         self.answers = list(answers)
@@ -85,7 +85,7 @@
         return await self._next(None)
 
     async def wait(self, position, wait_ms):
-        """Answer a watch."""
+        """Answer a watch and record its duration."""
         self.waits_ms.append(wait_ms)
         return await self._next(position)
 
@@ -97,7 +97,7 @@
 
 
 class FakeControl:
-    """Keeps what is sent to each neighbour."""
+    """Records the frames sent to each neighbour."""
 
     def __init__(self, *neighbours: str) -> None:
         self.neighbours = neighbours
@@ -106,7 +106,7 @@
         self.neighbour_down_callbacks: list = []
 
     def send(self, vm, *frames):
-        """Keep the frames."""
+        """Record the frames."""
         self.sent += [(vm, frame) for frame in frames]
 
 
@@ -117,16 +117,16 @@
 
 
 def read_text(data: bytes):
-    """Read a document that ends with its version."""
+    """Parse a document that ends with its version."""
     return read(data.rpartition(b"{")[2]).map(lambda found: replace(found, data=data))
 
 
-def follow_text(table, control, frames, **more):
-    """Let a follower of longer documents run for a moment and return it."""
-    return follow(table, control, frames, reader=read_text, wait_s=0.6, **more)
+def run_text_follower(table, control, frames, **options):
+    """Run a follower of longer documents for a moment and return it."""
+    return run_follower(table, control, frames, reader=read_text, wait_s=0.6, **options)
 
 
-def follow(
+def run_follower(
     table,
     control,
     frames=(),
@@ -135,11 +135,11 @@
     reader=read,
     wait_s=0.01,
     lost=(),
-    **more,
+    **options,
 ):
-    """Let a follower run for a moment and return it.
+    """Run a follower for a moment and return it.
 
-    It gets `frames` from neighbours, then those in `lost` go.
+    It receives `frames` from neighbours, then the neighbours in `lost` disconnect.
     """
 
     async def scenario() -> ConfigurationFollower:
@@ -151,7 +151,7 @@
             control,
             DecisionLog(),
             random.Random(seed),
-            **more,
+            **options,
         )
         following.start()
         await asyncio.sleep(wait_s)
@@ -168,48 +168,50 @@
     return asyncio.run(scenario())
 
 
-def test_table_is_read_anew_when_the_watch_has_lost_its_history(monkeypatch):
-    """The store forgets its history; the watch can't be continued."""
+def test_table_is_read_again_when_the_watch_has_expired(monkeypatch):
+    """The store has discarded its history, so the watch can't be continued."""
     monkeypatch.setattr(follower, "_SETTLE_S", 0.0)
     table = FakeTable(
         rows(3, b"5"), Err(Failure(ErrorKind.WATCH_EXPIRED)), rows(9, b"7")
     )
-    following = follow(table, FakeControl())
+    following = run_follower(table, FakeControl())
     assert following.versions() == {"platform": 7}
     assert table.calls == [None, 3, None, 9]
 
 
-def test_only_the_newest_good_version_of_an_answer_is_put_in_force():
-    """Versions come in quick succession, and the last one is no document."""
-    following = follow(FakeTable(rows(3, b"5", b"6", b"7", b"bad")), FakeControl())
+def test_only_the_newest_valid_version_of_an_answer_is_put_in_force():
+    """Versions arrive in quick succession, and the last one is invalid."""
+    following = run_follower(
+        FakeTable(rows(3, b"5", b"6", b"7", b"bad")), FakeControl()
+    )
     assert following.versions() == {"platform": 7}
     assert (following.n_rejected, following.n_ignored) == (1, 0)
 
 
 def test_removed_row_leaves_the_routes_in_force():
     table = FakeTable(rows(3, b"5"), Ok(WatchedRows((WatchedRow("config", None),), 4)))
-    assert follow(table, FakeControl(), for_s=0.5).versions() == {"platform": 5}
+    assert run_follower(table, FakeControl(), for_s=0.5).versions() == {"platform": 5}
 
 
-def test_daemon_that_the_store_turns_away_learns_from_a_neighbour():
-    """The store refuses this VM only; a neighbour has a version in force.
+def test_daemon_refused_by_the_store_gets_the_version_from_a_neighbour():
+    """The store refuses only this VM; a neighbour has a version in force.
 
-    Without the neighbour this daemon would refuse every request as not ready.
+    Without the neighbour's copy this daemon would refuse every request as not ready.
     """
     refused = Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
     control = FakeControl("vm-2", "vm-3")
     frames = [("vm-2", DocumentHave(5)), ("vm-2", DocumentCopy(pack(b"5"), 3))]
-    following = follow(FakeTable(*[refused] * 9), control, frames)
+    following = run_follower(FakeTable(*[refused] * 9), control, frames)
     assert following.versions() == {"platform": 5}
     assert following.is_floor_known
-    # It tells the others; the one that it has it from knows by itself.
+    # It announces the version to the others; the sender of the copy knows it already.
     assert ("vm-3", DocumentHave(5)) in control.sent
 
 
-def test_neighbour_that_is_behind_gets_the_document_when_it_asks():
+def test_neighbour_with_an_older_version_can_pull_the_document():
     control = FakeControl("vm-2")
     frames = [("vm-2", DocumentHave(4)), ("vm-2", DocumentPull(4))]
-    follow(FakeTable(rows(3, b"5")), control, frames)
+    run_follower(FakeTable(rows(3, b"5")), control, frames)
     assert control.sent == [
         ("vm-2", DocumentHave(5)),
         ("vm-2", DocumentHave(5)),
@@ -217,31 +219,31 @@
     ]
 
 
-def test_daemon_without_any_version_asks_at_once():
+def test_daemon_without_any_version_pulls_at_once():
     control = FakeControl("vm-2")
     refused = Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
-    follow(FakeTable(*[refused] * 9), control, [("vm-2", DocumentHave(4))])
+    run_follower(FakeTable(*[refused] * 9), control, [("vm-2", DocumentHave(4))])
     assert ("vm-2", DocumentPull(0)) in control.sent
 
 
-def test_damaged_copy_changes_nothing():
-    """A neighbour of another release sends something else in a copy's place."""
+def test_corrupt_copy_is_ignored():
+    """A neighbour of another release sends something else instead of a copy."""
     control = FakeControl("vm-2")
     refused = Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
     frames = [("vm-2", DocumentCopy(data, 3)) for data in (b"5", pack(b"5")[:-2], b"")]
-    following = follow(FakeTable(*[refused] * 9), control, frames)
+    following = run_follower(FakeTable(*[refused] * 9), control, frames)
     assert following.versions() == {}
 
 
-def test_copy_that_unpacks_to_more_than_anything_sent_is_refused():
-    """A few bytes that unpack to gigabytes would fill the memory of the VM."""
+def test_copy_that_unpacks_beyond_the_size_limit_is_refused():
+    """A few bytes that unpack to gigabytes would exhaust the VM's memory."""
     assert unpack(pack(b"0" * UNPACKED_MAX_BYTES)) is not None
     assert unpack(pack(b"0" * (UNPACKED_MAX_BYTES + 1))) is None
 
 
 def test_copy_of_a_large_document_fits_one_frame():
-    """Thousands of routes: a frame over the limit makes its receiver close the
-    stream, and the two daemons lose sight of each other with each version.
+    """A copy has thousands of routes. A frame over the limit makes its receiver close
+    the stream, so that the two daemons would lose their connection with each version.
     """
     rules = [rule(f"r-{index:x}", f"/p{index:x}/", "ledger") for index in range(3000)]
     data = document(7, *rules)
@@ -251,63 +253,63 @@
     assert len(encode_frame(DocumentCopy(pack(data), 3))) < frame_max_bytes / 2
 
 
-def test_watch_goes_on_from_where_a_neighbour_has_read(monkeypatch):
-    """Versions come in quick succession, and a neighbour tells of one between two
+def test_watch_continues_from_the_position_of_a_neighbours_copy(monkeypatch):
+    """Versions arrive in quick succession, and a neighbour sends one between two
     watches.
 
-    Watched from the position of before, the source would send the same version once
-    more, which takes a slow link the better part of a second.
+    If the watch continued from the previous position, the store would send the same
+    version again, which takes most of a second on a slow link.
     """
     monkeypatch.setattr(follower, "_SETTLE_S", 0.03)
     table = FakeTable(rows(3, b"5"))
     copy = DocumentCopy(pack(b"7"), 9)
-    following = follow(table, FakeControl(), [("vm-2", copy)], for_s=0.1)
+    following = run_follower(table, FakeControl(), [("vm-2", copy)], for_s=0.1)
     assert following.versions() == {"platform": 7}
     assert table.calls == [None, 9]
 
 
 def test_copy_of_an_older_version_does_not_move_the_watch(monkeypatch):
-    """A neighbour that is behind sends what it has."""
+    """A neighbour that lags behind sends its version."""
     monkeypatch.setattr(follower, "_SETTLE_S", 0.03)
     table = FakeTable(rows(3, b"5"))
     copy = DocumentCopy(pack(b"4"), 9)
-    follow(table, FakeControl(), [("vm-2", copy)], for_s=0.1)
+    run_follower(table, FakeControl(), [("vm-2", copy)], for_s=0.1)
     assert table.calls == [None, 3]
 
 
 def test_daemons_that_read_together_do_not_renew_their_watches_together(monkeypatch):
-    """Six daemons were killed together, and the store turns silent just when each of
-    them has begun its watch. A version is written meanwhile.
+    """Six daemons are killed together and restart, and the store stops answering just
+    after each has started its watch. A version is written in the meantime.
 
-    In step, they would all hang on their watches for six seconds and more after the
-    store is back, and route by the old version.
+    If their watches ended at the same time, all would hang for six seconds or more
+    after the store has recovered, and route by the old version.
     """
     monkeypatch.setattr(follower, "_SETTLE_S", 0.0)
     for fleet in range(20):
         first_waits_ms = []
         for number in range(6):
             table = FakeTable(rows(3, b"5"))
-            follow(table, FakeControl(), for_s=0.01, seed=6 * fleet + number)
+            run_follower(table, FakeControl(), for_s=0.01, seed=6 * fleet + number)
             first_waits_ms.append(table.waits_ms[0])
         assert min(first_waits_ms) <= 5_500
 
 
-def test_versions_in_quick_succession_leave_room_on_a_slow_link(monkeypatch):
-    """The document takes the VM's link 0.1 s, and versions follow each other.
+def test_versions_in_quick_succession_do_not_saturate_a_slow_link(monkeypatch):
+    """The transfer of a document takes 0.1 s on the VM's link, and versions arrive in
+    quick succession.
 
-    Read one after the other without a pause they would fill the link, and calls
-    would wait behind them.
+    Reads without a pause in between would saturate the link and delay calls.
     """
     monkeypatch.setattr(follower, "_SETTLE_S", 0.0)
     table = FakeTable(rows(3, b"5"), rows(4, b"6"), rows(5, b"7"))
     slow = {"carry_s": lambda n_bytes: 0.1 * n_bytes}
-    follow(table, FakeControl(), for_s=0.09, **slow)
+    run_follower(table, FakeControl(), for_s=0.09, **slow)
     assert len(table.calls) == 1
 
 
-def test_daemon_on_a_slow_link_takes_versions_from_its_neighbours(monkeypatch):
-    """The document takes the VM's link a second. Its watch would bring it with each
-    version, and all calls would wait behind it.
+def test_daemon_on_a_slow_link_pulls_versions_from_its_neighbours(monkeypatch):
+    """The transfer of the document takes a second on the VM's link. Its watch would
+    transfer the document with each version and delay all calls.
     """
     monkeypatch.setattr(follower, "_SETTLE_S", 0.0)
     monkeypatch.setattr(follower, "_SETTLE_MAX_S", 0.0)
@@ -315,17 +317,17 @@
     control = FakeControl("vm-2", "vm-3")
     frames = [("vm-2", DocumentHave(7)), ("vm-3", DocumentHave(7))]
     slow = {"carry_s": lambda n_bytes: 1.0, "is_source": lambda: False}
-    follow(table, control, frames, **slow)
+    run_follower(table, control, frames, **slow)
     assert table.calls == [None]
-    # It asks one of them at once, and no second one for the same version.
+    # It pulls from one neighbour at once, and the same version from no second one.
     assert [sent for sent in control.sent if sent[1] == DocumentPull(5)] == [
         ("vm-2", DocumentPull(5))
     ]
 
 
 def test_daemon_on_a_slow_link_watches_where_others_depend_on_it(monkeypatch):
-    """The last neighbour of a daemon on a slow link is gone, or it is the one of its
-    zone that finds versions for the others.
+    """A daemon on a slow link has lost its last neighbour, or it is the one in its zone
+    that discovers versions for the others.
     """
     monkeypatch.setattr(follower, "_SETTLE_S", 0.0)
     monkeypatch.setattr(follower, "_SETTLE_MAX_S", 0.0)
@@ -335,80 +337,84 @@
     slow = {"carry_s": lambda n_bytes: 1.0, "is_source": lambda: is_source[0]}
     control = FakeControl()
     frames = [("vm-2", DocumentHave(5))]
-    follow(table, control, frames, **slow)
+    run_follower(table, control, frames, **slow)
     assert table.calls == [None]
     is_source[0] = True
     table = FakeTable(rows(3, b"5"))
-    follow(table, control, frames, **slow)
+    run_follower(table, control, frames, **slow)
     assert table.calls == [None, 3] and table.waits_ms[0] > 0
 
 
-def shared(**more):
-    """Return what makes a follower one of a fleet that shares its reads."""
+def shared_options(**options):
+    """Return the options of a follower in a fleet that shares its reads."""
     schedule = ReadSchedule(2000.0, boot_ms(), random.Random(1))
-    return {"schedule": schedule, "place": lambda: 9, **more}
+    return {"schedule": schedule, "place": lambda: 9, **options}
 
 
-def test_starting_daemon_takes_the_copy_of_a_neighbour_and_reads_nothing():
-    """Guards against reads of the store that grow with the daemons that start."""
+def test_starting_daemon_uses_a_neighbours_copy_and_reads_nothing():
+    """Guards against reads of the store that grow with the number of daemon starts."""
     table, control = FakeTable(rows(3, b"5")), FakeControl("vm-2", "vm-3")
     frames = [
         ("vm-2", DocumentFresh(5, 3, 10)),
         ("vm-2", DocumentCopy(pack(b"5"), 3, 10)),
     ]
-    following = follow(table, control, frames, for_s=0.5, **shared())
+    following = run_follower(table, control, frames, for_s=0.5, **shared_options())
     assert following.versions() == {"platform": 5}
     assert table.calls == []
-    # The confirmation goes on to the others.
-    passed = [vm for vm, frame in control.sent if isinstance(frame, DocumentFresh)]
-    assert "vm-3" in passed
+    # The confirmation is forwarded to the other neighbours.
+    forwarded_to = [
+        vm for vm, frame in control.sent if isinstance(frame, DocumentFresh)
+    ]
+    assert "vm-3" in forwarded_to
 
 
-def test_daemon_that_hears_no_confirmation_reads_for_itself(monkeypatch):
-    """Guards against neighbours that are alive and have lost the store."""
+def test_daemon_without_a_recent_confirmation_reads_the_table(monkeypatch):
+    """Guards against live neighbours that have lost their connection to the store."""
     monkeypatch.setattr(shared_reading, "FIRST_READ_SHARE", 0.05)
     monkeypatch.setattr(shared_reading, "LAST_READ_SHARE", 0.05)
     table, control = FakeTable(rows(9, b"7")), FakeControl("vm-2", "vm-3")
     copy = DocumentCopy(pack(b"5"), 3, 10)
-    following = follow(table, control, [("vm-2", copy)], for_s=0.5, **shared())
+    following = run_follower(
+        table, control, [("vm-2", copy)], for_s=0.5, **shared_options()
+    )
     assert following.versions() == {"platform": 7}
     assert table.calls[0] == 3 and table.waits_ms[0] == 0
 
 
-def test_version_heard_while_an_older_one_arrives_is_asked_for_at_once():
-    """Guards against daemons that fall behind versions in quick succession."""
+def test_version_announced_while_an_older_one_arrives_is_pulled_at_once():
+    """Guards against daemons that lag when versions arrive in quick succession."""
     control = FakeControl("vm-2", "vm-3")
     frames = [
         ("vm-2", DocumentFresh(5, 3, 10)),
         ("vm-3", DocumentFresh(6, 4, 10)),
         ("vm-2", DocumentCopy(pack(b"5"), 3, 10)),
     ]
-    follow(FakeTable(), control, frames, **shared())
+    run_follower(FakeTable(), control, frames, **shared_options())
     assert ("vm-3", DocumentPull(5)) in control.sent
 
 
-def test_confirmation_of_an_older_version_counts_for_nothing():
-    """Guards against a daemon that trusts a neighbour which is behind."""
+def test_confirmation_of_an_older_version_is_ignored():
+    """Guards against a daemon that trusts a neighbour with an older version."""
     table, control = FakeTable(), FakeControl("vm-2", "vm-3")
     frames = [("vm-2", DocumentCopy(pack(b"5"), 3)), ("vm-3", DocumentFresh(4, 9, 0))]
-    following = follow(table, control, frames, **shared())
+    following = run_follower(table, control, frames, **shared_options())
     assert not following.schedule.is_confirmed
     assert ("vm-3", DocumentHave(5)) in control.sent
 
 
-def test_neighbour_with_the_version_before_gets_what_has_changed():
-    """Guards against whole documents on narrow links for one changed route."""
+def test_neighbour_with_the_previous_version_gets_a_delta():
+    """Guards against sending whole documents over slow links for one changed route."""
     routes = b"".join(b"{%x" % (index**5) for index in range(200))
     old, new = routes + b"{5", routes + b"{6"
     control = FakeControl("vm-2")
     frames = [("vm-2", DocumentPull(5)), ("vm-2", DocumentPull(4))]
-    follow_text(FakeTable(rows(3, old), rows(4, new)), control, frames)
+    run_text_follower(FakeTable(rows(3, old), rows(4, new)), control, frames)
     sent = [type(frame) for _, frame in control.sent]
     assert sent.count(DocumentDelta) == 1 and sent.count(DocumentCopy) == 1
 
 
 def test_version_is_announced_before_it_is_here_and_handed_on_as_it_comes():
-    """Guards against a way through the fleet that takes a reading at each daemon."""
+    """Guards against a propagation delay that includes parsing at each daemon."""
     control = FakeControl("vm-2", "vm-3")
     copy = DocumentCopy(pack(b"5"), 3)
     frames = [
@@ -416,45 +422,49 @@
         ("vm-3", DocumentPull(0)),
         ("vm-2", copy),
     ]
-    follow(FakeTable(), control, frames, **shared())
-    to_third = [frame for vm, frame in control.sent if vm == "vm-3"]
-    assert to_third == [DocumentHave(5), copy]
+    run_follower(FakeTable(), control, frames, **shared_options())
+    sent_to_vm_3 = [frame for vm, frame in control.sent if vm == "vm-3"]
+    assert sent_to_vm_3 == [DocumentHave(5), copy]
 
 
-def test_neighbour_that_does_not_send_a_version_is_followed_by_the_next(monkeypatch):
-    """Guards against a daemon that waits for one that was killed meanwhile."""
+def test_pull_moves_on_to_the_next_neighbour_after_a_timeout(monkeypatch):
+    """Guards against a daemon that waits for a neighbour killed in the meantime."""
     monkeypatch.setattr(document_exchange, "_PULL_AGAIN_S", 0.01)
     control = FakeControl("vm-2", "vm-3")
     frames = [("vm-2", DocumentHave(5)), ("vm-3", DocumentHave(5))]
-    follow(FakeTable(), control, frames, **shared())
-    asked = [vm for vm, frame in control.sent if frame == DocumentPull(0)]
-    assert asked[:3] == ["vm-2", "vm-3", "vm-2"]
+    run_follower(FakeTable(), control, frames, **shared_options())
+    asked_vms = [vm for vm, frame in control.sent if frame == DocumentPull(0)]
+    assert asked_vms[:3] == ["vm-2", "vm-3", "vm-2"]
 
 
 def test_neighbours_that_are_lost_are_not_waited_for():
-    """Guards against a version that comes late as its source is no neighbour now."""
+    """Guards against a version that is delayed as its source has disconnected."""
     control = FakeControl("vm-2", "vm-3", "vm-4")
     frames = [(vm, DocumentHave(5)) for vm in control.neighbours]
-    follow(FakeTable(), control, frames, lost=("vm-3", "vm-2"), **shared())
-    asked = [vm for vm, frame in control.sent if frame == DocumentPull(0)]
-    assert asked == ["vm-2", "vm-4"]
+    run_follower(
+        FakeTable(), control, frames, lost=("vm-3", "vm-2"), **shared_options()
+    )
+    asked_vms = [vm for vm, frame in control.sent if frame == DocumentPull(0)]
+    assert asked_vms == ["vm-2", "vm-4"]
 
 
-def test_document_that_is_no_good_is_not_asked_for_again(monkeypatch):
-    """Guards against copies of a bad version that fill a narrow link for ever."""
+def test_rejected_document_is_not_pulled_again(monkeypatch):
+    """Guards against endless copies of an invalid version that saturate a slow link."""
     monkeypatch.setattr(document_exchange, "_PULL_AGAIN_S", 0.01)
     control = FakeControl("vm-2")
     frames = [("vm-2", DocumentHave(5)), ("vm-2", DocumentCopy(pack(b"bad"), 3))]
     frames += [("vm-2", DocumentHave(5))] * 3
-    follow(FakeTable(), control, frames, **shared())
+    run_follower(FakeTable(), control, frames, **shared_options())
     assert [frame for _, frame in control.sent if isinstance(frame, DocumentPull)] == []
 
 
 def test_daemon_that_can_not_read_the_newest_version_confirms_nothing():
-    """Guards against an older release that holds newer ones at an old version."""
+    """Guards against an older release that keeps newer releases at an old version."""
     control = FakeControl("vm-2")
     table = FakeTable(rows(3, b"5", b"bad"))
-    following = follow(table, control, [("vm-2", DocumentHave(4))], 0.5, **shared())
+    following = run_follower(
+        table, control, [("vm-2", DocumentHave(4))], 0.5, **shared_options()
+    )
     assert following.versions() == {"platform": 5}
     assert [
         frame for _, frame in control.sent if isinstance(frame, DocumentFresh)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Snapshots and deltas."""
+"""Tests of snapshots and deltas."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def snapshot_of(version: int, *routes: str) -> Snapshot:
-    """Return a snapshot with one service and a route for each name."""
+    """Return a snapshot with one service and one route per name."""
     intent = Intent(
         "lantern",
         (Service("ledger", "app=ledger"),),
@@ -48,19 +48,19 @@
 
 
 def test_delta_on_another_base_is_refused():
-    """A delta overtakes the one before it on another path through the fleet.
+    """A delta overtakes the previous one on another path through the fleet.
 
-    Applied to the wrong base it would give a configuration that nobody wrote;
-    requests would take routes that were never accepted.
+    Applied to the wrong base it would give a configuration that nobody wrote, and
+    requests would use routes that were never accepted.
     """
     base, target = snapshot_of(2, "a"), snapshot_of(3, "a", "b")
     assert apply_delta(snapshot_of(1, "z"), make_delta(base, target)).is_err()
 
 
-def test_damaged_body_is_refused_whole():
-    """A body is damaged on its way or in the object store.
+def test_corrupt_body_is_refused_as_a_whole():
+    """A body is corrupted in transit or in the object store.
 
-    Any part of it that went in force would be a configuration nobody wrote.
+    If any part of it went in force, that would be a configuration nobody wrote.
     """
     whole = snapshot_of(1, "a")
     assert make_snapshot(whole.head, whole.body[:-1]).is_err()
@@ -88,7 +88,7 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(DOCUMENTS, DOCUMENTS)
-def test_delta_reads_as_the_whole_does(before, after):
+def test_applied_delta_equals_the_full_snapshot(before, after):
     bodies = encode_intent(before), encode_intent(after)
     base, target = (
         make_snapshot(
@@ -100,10 +100,10 @@
 
 
 def test_delta_that_would_break_the_document_is_refused():
-    """A delta of a faulty daemon takes away a service that routes still need.
+    """A delta of a faulty daemon removes a service that routes still reference.
 
-    Its digest is right, so only the check of the whole can tell; applied, its
-    routes would point at nothing.
+    Its digest is correct, so only the validation of the whole result detects the fault.
+    If it were applied, routes would reference a missing service.
     """
     base = snapshot_of(1, "a")
     body = encode_intent(replace(base.intent, services=()))
