--- a/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
@@ -103,7 +103,7 @@
     collection = convergence.collections.get(customer)
     if collection is not None and version >= collection.version:
         collection.vms.add(own_vm)
-        yield from _check(collection, state, now_ms)
+        yield from _check_converged(collection, state, now_ms)
     for (_, name), return_path in convergence.return_paths.items():
         is_due = name == customer and version >= return_path.version
         if is_due and not return_path.is_acknowledged:
@@ -122,7 +122,7 @@
         collection = convergence.collections.get(frame.customer)
         if collection is not None and frame.version >= collection.version:
             collection.vms.update(frame.vms)
-            yield from _check(collection, state, now_ms)
+            yield from _check_converged(collection, state, now_ms)
         return
     return_path = convergence.return_paths.get((frame.collector, frame.customer))
     if return_path is not None and frame.version >= return_path.version:
@@ -160,12 +160,14 @@
             frame = Acknowledge(collector, customer, return_path.version, vms)
             yield Send(return_path.parent, frame)
     for collection in convergence.collections.values():
-        yield from _check(collection, state, now_ms)
+        yield from _check_converged(collection, state, now_ms)
         if collection.convergence_ms is None and now_ms >= collection.inquiry_due_ms:
             yield from _inquire(collection, state, now_ms)
 
 
-def _check(collection: Collection, state: DistributionState, now_ms: int) -> Actions:
+def _check_converged(
+    collection: Collection, state: DistributionState, now_ms: int
+) -> Actions:
     if collection.convergence_ms is not None:
         return
     if any(True for _ in missing_vms(collection, state)):
--- a/packages/pepperstair-core/pepperstair_core/distribution/floor.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/floor.py
@@ -23,7 +23,7 @@
 _NEIGHBOUR_RETRY_MS: Final = 500
 _PLATFORM_RETRY_MS: Final = 1000
 _PLATFORM_RETRY_MAX_MS: Final = 4000
-_NUMBER_MAX: Final = 2**32
+_REQUEST_NUMBER_MAX: Final = 2**32
 
 
 class FloorSource(StrEnum):
@@ -84,7 +84,7 @@
         return
     if floor.started_at_ms is None:
         floor.started_at_ms = now_ms
-        floor.number = state.rng.randrange(1, _NUMBER_MAX)
+        floor.number = state.rng.randrange(1, _REQUEST_NUMBER_MAX)
     if floor.platform_heads is not None and _has_in_force(state, floor.platform_heads):
         floor.reached_by = FloorSource.PLATFORM
     elif _is_confirmed_by_neighbours(floor, state, now_ms):
--- a/packages/pepperstair-core/pepperstair_core/distribution/pulling.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/pulling.py
@@ -18,7 +18,7 @@
 )
 
 _N_PARTS_MAX = 64
-_N_BUSY_ROUNDS = 3
+_N_BUSY_ROUNDS_MAX = 3
 
 
 def schedule_pull(
@@ -116,7 +116,7 @@
         return
     wait_ms = min(frame.retry_after_ms, state.timing.pull_backoff_max_ms)
     pull.due_ms = now_ms + int(wait_ms * state.rng.uniform(1.0, 2.0))
-    if pull.n_rounds < _N_BUSY_ROUNDS:
+    if pull.n_rounds < _N_BUSY_ROUNDS_MAX:
         # Busy neighbours can deliver later: an immediate fallback would move the
         # whole herd to the object store.
         pull.asked_vms.clear()
--- a/packages/pepperstair-core/pepperstair_core/distribution/serving.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/serving.py
@@ -15,7 +15,7 @@
 from .actions import Actions, Send
 from .state import PART_MAX_BYTES, CustomerState, DistributionState
 
-_N_OTHERS_MAX: Final = 3
+_N_OTHER_HOLDERS_MAX: Final = 3
 
 
 def on_pull(state: DistributionState, sender: str, frame: Pull, now_ms: int) -> Actions:
@@ -83,16 +83,18 @@
 
 
 def _busy_reply(state: DistributionState, customer: CustomerState, sender: str) -> Busy:
-    others = [
+    other_addresses = [
         state.fleet.members[vm].peer_address
         for vm, version in sorted(customer.holders.items())
         if version >= customer.held_version
         and vm != sender
         and vm in state.fleet.members
     ]
-    state.rng.shuffle(others)
+    state.rng.shuffle(other_addresses)
     retry_after_ms = int(state.timing.busy_retry_ms * state.rng.uniform(0.5, 1.5))
-    return Busy(customer.customer, retry_after_ms, tuple(others[:_N_OTHERS_MAX]))
+    return Busy(
+        customer.customer, retry_after_ms, tuple(other_addresses[:_N_OTHER_HOLDERS_MAX])
+    )
 
 
 __all__ = ["iter_parts", "on_pull", "release_pull"]
