--- a/packages/pepperstair-core/pepperstair_core/members.py
+++ b/packages/pepperstair-core/pepperstair_core/members.py
@@ -1,8 +1,8 @@
-"""Members of the fleet and the targets beside them.
+"""Member records: the daemons of the fleet and their targets.
 
-Each daemon owns one record: who it is, where it listens and which targets it
-serves. Only the owner writes the record; the others pass it on and may add a
-suspicion, which the owner refutes with a higher incarnation.
+Each daemon owns one record with its identity, its addresses and the targets that it
+serves. Only the owner writes the record. Other daemons forward it and may mark it as
+suspect, which the owner refutes with a higher incarnation.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class MemberState(IntEnum):
-    """How the fleet sees a member; a higher one wins in the same incarnation."""
+    """The state of a member; within an incarnation the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -28,7 +28,7 @@
 
 
 class TargetState(StrEnum):
-    """What a target says of itself."""
+    """The state that a target announces of itself."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -38,7 +38,7 @@
 class Target(ArrayRecord):
     """A back end that announced itself to the daemon of its VM.
 
-    `labels` already holds the VM's labels below the target's own ones.
+    `labels` are the VM's labels, overridden by the target's own ones.
     """
 
     name: str
@@ -50,12 +50,12 @@
 
 
 class Member(ArrayRecord):
-    """One daemon as the fleet knows it.
+    """The record of one daemon.
 
-    `incarnation` rises with each start or refutation, `sequence` with each
-    change of the record within an incarnation. `operators_address` is where the
-    command line reaches the daemon for reports over the fleet, `link_mbps` the pace of
-    its VM's link, 0 where that is not known.
+    `incarnation` rises with each start or refutation, `sequence` with each change of
+    the record within an incarnation. `operators_address` is the address at which the
+    command line queries the daemon for fleet-wide reports. `link_mbps` is the
+    bandwidth of the VM's link in Mbit/s, 0 if unknown.
     """
 
     vm: str
@@ -71,10 +71,10 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Return the order among records of one VM: the highest is current.
+        """Return the sort key among the records of one VM; the highest is current.
 
-        A suspicion or departure outranks every sequence of its incarnation,
-        so that an old record that arrives late can't bring a member back.
+        A suspicion or departure outranks every sequence of its incarnation, so a
+        stale record that arrives late cannot make the member usable again.
         """
         return (self.incarnation, int(self.state), self.sequence)
 
@@ -85,7 +85,7 @@
 
 
 class MemberRank(ArrayRecord):
-    """Which record of a member a daemon holds, without the record itself."""
+    """Identifies the member record that a daemon holds, without its contents."""
 
     vm: str
     incarnation: int
@@ -94,22 +94,22 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Return the order among records of one VM: the highest is current."""
+        """Return the sort key among the records of one VM; the highest is current."""
         return (self.incarnation, int(self.state), self.sequence)
 
 
-def newer_member(known: Member | None, heard: Member) -> bool:
-    """Return whether a record that was heard replaces the known one."""
-    return known is None or heard.rank > known.rank
+def is_newer(known: Member | None, received: Member) -> bool:
+    """Return whether a received record replaces the known one."""
+    return known is None or received.rank > known.rank
 
 
-def accuse(member: Member, state: MemberState) -> Member:
-    """Return the record with another daemon's doubt about it added."""
+def with_state(member: Member, state: MemberState) -> Member:
+    """Return the record with the state that another daemon assigns to it."""
     return replace(member, state=state)
 
 
 def label_items(labels: Labels) -> tuple[tuple[str, str], ...]:
-    """Return labels in the frozen, ordered form that records carry."""
+    """Return labels as the sorted tuple of pairs that records contain."""
     return tuple(sorted(labels.items()))
 
 
@@ -119,7 +119,7 @@
     "MemberState",
     "Target",
     "TargetState",
-    "accuse",
+    "with_state",
     "label_items",
-    "newer_member",
+    "is_newer",
 ]
--- a/packages/pepperstair-core/pepperstair_core/membership/__init__.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions about members: the directory, liveness and neighbours."""
+"""Membership decisions: the member directory, liveness and neighbour choice."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-core/pepperstair_core/membership/actions.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/actions.py
@@ -1,4 +1,4 @@
-"""What the membership decisions ask the control plane to do."""
+"""Actions that the membership decisions request from the control plane."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class MemberChanged(Struct, frozen=True):
-    """A record was replaced by a newer one; `before` is None for a new member."""
+    """Report that a newer record was stored; `before` is None for a new member."""
 
     before: Member | None
     member: Member
--- a/packages/pepperstair-core/pepperstair_core/membership/backoff.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/backoff.py
@@ -1,4 +1,4 @@
-"""When to dial again after a failure: exponential backoff with full jitter."""
+"""Delays between dial attempts: exponential backoff with full jitter."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class DialBackoff:
-    """The failed attempts at each address and when the next one is due.
+    """Tracks the failed dials of each address and when the next attempt is due.
 
-    After a herd restart all survivors dial at once. Without jitter they would
-    do so in step, and each wave would fail the next; one would notice daemons
-    that stay without neighbours long after the last restart.
+    After a mass restart all remaining daemons dial at once. Without jitter they
+    would retry in lockstep, each wave of dials making the next one fail, and some
+    daemons would still have no neighbours long after the last restart.
     """
 
     def __init__(self, rng: Random) -> None:
@@ -27,14 +27,14 @@
         return self._due_ms.get(address, now_ms) <= now_ms
 
     def fail(self, address: str, now_ms: int) -> None:
-        """Note a failed attempt."""
+        """Record a failed attempt and schedule the next one."""
         n_failed = self._n_failed.get(address, 0)
         self._n_failed[address] = n_failed + 1
         limit_ms = min(BACKOFF_MIN_MS << min(n_failed, 16), BACKOFF_MAX_MS)
         self._due_ms[address] = now_ms + self._rng.randint(0, limit_ms)
 
     def succeed(self, address: str) -> None:
-        """Forget the failures of an address."""
+        """Clear the failures of an address."""
         self._n_failed.pop(address, None)
         self._due_ms.pop(address, None)
 
--- a/packages/pepperstair-core/pepperstair_core/membership/directory.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/directory.py
@@ -1,4 +1,4 @@
-"""What one daemon knows of the members of the fleet."""
+"""The member records that one daemon holds."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from collections.abc import Iterable, Iterator
 from typing import Final
 
-from ..members import Member, MemberRank, newer_member
+from ..members import Member, MemberRank, is_newer
 from ..rendezvous import weight
 
 N_BUCKETS: Final = 16
 _DIGEST_BYTES: Final = 8
-_N_KNOWN_BUCKETS_MAX: Final = 4_096
+_N_CACHED_BUCKETS_MAX: Final = 4_096
 
 
 class MemberDirectory:
-    """The newest record of each member, the own one among them.
+    """Holds the newest known record of each member, including the daemon's own.
 
-    Members fall into buckets by name, and each bucket has a digest of its
-    usable members, kept up to date with every change. Two daemons compare 128
-    bytes of digests and then talk only about the buckets that differ.
+    Members are hashed into buckets by name. Each bucket has a digest of its usable
+    members, which is updated with every change. Two daemons compare 128 bytes of
+    digests and then exchange only the buckets that differ.
     """
 
     def __init__(self, own: Member) -> None:
@@ -46,33 +46,34 @@
         """Return the record of a VM, if one is known."""
         return self._members.get(vm)
 
-    def merge(self, heard: Iterable[Member]) -> Iterator[Member]:
-        """Take the records that are newer than the known ones and yield them.
+    def merge(self, received: Iterable[Member]) -> Iterator[Member]:
+        """Store the records that are newer than the known ones and yield them.
 
-        Only the owner writes its own record: what others say of this daemon is
-        left out here. So is an unknown member that is gone: daemons that have
-        forgotten it would otherwise teach it to each other for ever.
+        Records about this daemon are skipped, as only the owner writes its own
+        record. Unknown members that are already gone are skipped too: daemons that
+        have removed such a record would otherwise send it back to each other
+        indefinitely.
         """
-        for member in heard:
+        for member in received:
             if member.vm == self._own_vm:
                 continue
             known = self._members.get(member.vm)
             if known is None and not member.is_usable:
                 continue
-            if newer_member(known, member):
+            if is_newer(known, member):
                 self._put(member)
                 yield member
 
-    def forget(self, vm: str) -> None:
-        """Drop the record of a member that is long gone."""
+    def remove(self, vm: str) -> None:
+        """Remove the record of a member that has been gone for long enough."""
         member = self._members.pop(vm, None)
         if member is not None:
             bucket = bucket_of(vm)
-            self._digests[bucket] ^= _mark(member)
+            self._digests[bucket] ^= _record_digest(member)
             del self._buckets[bucket][vm]
 
     def digests(self) -> bytes:
-        """Return the digests of all buckets, one after the other."""
+        """Return the concatenated digests of all buckets."""
         return b"".join(
             digest.to_bytes(_DIGEST_BYTES, "big") for digest in self._digests
         )
@@ -83,11 +84,11 @@
         return bytes(
             bucket
             for bucket in range(N_BUCKETS)
-            if _digest(own, bucket) != _digest(digests, bucket)
+            if _bucket_digest(own, bucket) != _bucket_digest(digests, bucket)
         )
 
     def in_buckets(self, buckets: bytes) -> Iterator[Member]:
-        """Yield the records in some buckets, those of gone members among them."""
+        """Yield the records in the given buckets, including those of gone members."""
         for bucket in sorted(set(buckets)):
             if bucket < N_BUCKETS:
                 yield from self._buckets[bucket].values()
@@ -96,32 +97,32 @@
         known = self._members.get(member.vm)
         bucket = bucket_of(member.vm)
         if known is not None:
-            self._digests[bucket] ^= _mark(known)
-        self._digests[bucket] ^= _mark(member)
+            self._digests[bucket] ^= _record_digest(known)
+        self._digests[bucket] ^= _record_digest(member)
         self._members[member.vm] = member
         self._buckets[bucket][member.vm] = member
 
 
-@functools.lru_cache(maxsize=_N_KNOWN_BUCKETS_MAX)
+@functools.lru_cache(maxsize=_N_CACHED_BUCKETS_MAX)
 def bucket_of(vm: str) -> int:
-    """Return the bucket that a member is compared in."""
+    """Return the number of the bucket that a member belongs to."""
     return weight("member-bucket", vm) % N_BUCKETS
 
 
 def rank_of(member: Member) -> MemberRank:
-    """Return the rank of a record as it is told to other daemons."""
+    """Return the rank of a record in the form that is sent to other daemons."""
     return MemberRank(member.vm, member.incarnation, member.state, member.sequence)
 
 
-def _digest(digests: bytes, bucket: int) -> bytes:
+def _bucket_digest(digests: bytes, bucket: int) -> bytes:
     start = bucket * _DIGEST_BYTES
     return digests[start : start + _DIGEST_BYTES]
 
 
-def _mark(member: Member) -> int:
-    """Return what a record adds to its bucket's digest.
+def _record_digest(member: Member) -> int:
+    """Return the value that is XORed into the digest of the record's bucket.
 
-    Gone members add nothing, as each daemon forgets them at its own time.
+    Gone members contribute 0, as each daemon removes them at a different time.
     """
     if not member.is_usable:
         return 0
--- a/packages/pepperstair-core/pepperstair_core/membership/edges.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/edges.py
@@ -1,4 +1,4 @@
-"""Which control streams to open and to close."""
+"""Decides which control streams to open and to close."""
 
 from __future__ import annotations
 
@@ -15,110 +15,112 @@
 
 
 class NeighbourEdges:
-    """The neighbours that are wanted and the streams that are up.
+    """Tracks the wanted neighbours and the open control streams.
 
-    Of two daemons that want each other the one with the lower name dials; the
-    other does so after `patience_ms`, as the views of both may differ for a
-    while. A stream that nobody wants is closed after `grace_ms`.
+    Of two daemons that want each other, the one with the lower name dials. The
+    other one dials after `dial_delay_ms`, as the member views of the two may differ
+    for a while. A stream to a daemon that is not wanted is closed after 4 times
+    that delay.
     """
 
     def __init__(
         self,
         directory: MemberDirectory,
         seed_addresses: Iterable[str],
-        patience_ms: int,
+        dial_delay_ms: int,
         rng: Random,
     ) -> None:
         self._directory = directory
         self._own_vm = directory.own().vm
-        self._patience_ms = patience_ms
-        self._grace_ms = 4 * patience_ms
+        self._dial_delay_ms = dial_delay_ms
+        self._grace_ms = 4 * dial_delay_ms
         self._rng = rng
         self._backoff = DialBackoff(rng)
         self._wanted_since_ms: dict[str, int] = {}
-        self._up: set[str] = set()
+        self._connected: set[str] = set()
         self._unwanted_since_ms: dict[str, int] = {}
         self._dialling: set[str] = set()
         self._seed_addresses = frozenset(seed_addresses)
-        self._entry_addresses = self._seed_addresses
+        self._join_addresses = self._seed_addresses
 
     @property
     def wanted(self) -> frozenset[str]:
-        """Return the VMs that a stream is wanted to."""
+        """Return the VMs to which a stream should be open."""
         return frozenset(self._wanted_since_ms)
 
     @property
-    def up(self) -> frozenset[str]:
-        """Return the VMs that a stream is open to."""
-        return frozenset(self._up)
+    def connected(self) -> frozenset[str]:
+        """Return the VMs to which a stream is open."""
+        return frozenset(self._connected)
 
-    def enter_through(self, addresses: Iterable[str]) -> None:
-        """Replace the found addresses through which the fleet may be reached."""
-        self._entry_addresses = self._seed_addresses | frozenset(addresses)
+    def set_join_addresses(self, addresses: Iterable[str]) -> None:
+        """Replace the discovered addresses that are dialled to join the fleet."""
+        self._join_addresses = self._seed_addresses | frozenset(addresses)
 
-    def want(self, vms: frozenset[str], now_ms: int) -> None:
+    def set_wanted(self, vms: frozenset[str], now_ms: int) -> None:
         """Replace the set of wanted neighbours."""
         known = self._wanted_since_ms
         self._wanted_since_ms = {vm: known.get(vm, now_ms) for vm in sorted(vms)}
 
-    def hurry(self, vm: str, now_ms: int) -> None:
-        """Dial a wanted neighbour without waiting for it to do so."""
+    def skip_dial_delay(self, vm: str, now_ms: int) -> None:
+        """Make a wanted neighbour due for dialling without the usual delay."""
         if vm in self._wanted_since_ms:
-            self._wanted_since_ms[vm] = now_ms - self._patience_ms
+            self._wanted_since_ms[vm] = now_ms - self._dial_delay_ms
 
     def open(self, vm: str, address: str) -> None:
-        """Note that a stream came up."""
-        self._up.add(vm)
+        """Record that a stream was opened."""
+        self._connected.add(vm)
         self._unwanted_since_ms.pop(vm, None)
         self.settle(address)
 
     def settle(self, address: str) -> None:
-        """Note that an address was reached."""
+        """Record a successful dial of an address."""
         self._dialling.discard(address)
         self._backoff.succeed(address)
 
     def close(self, vm: str) -> None:
-        """Note that a stream is gone."""
-        self._up.discard(vm)
+        """Record that a stream was closed."""
+        self._connected.discard(vm)
         self._unwanted_since_ms.pop(vm, None)
 
     def fail(self, address: str, now_ms: int) -> None:
-        """Note that an address could not be reached."""
+        """Record a failed dial of an address."""
         self._dialling.discard(address)
         self._backoff.fail(address, now_ms)
 
     def iter_dials(self, now_ms: int) -> Iterator[Dial]:
-        """Yield the wanted neighbours that are to be dialled now."""
+        """Yield dials to the wanted neighbours for which one is due."""
         for vm, since_ms in self._wanted_since_ms.items():
             member = self._directory.get(vm)
-            if vm in self._up or member is None:
+            if vm in self._connected or member is None:
                 continue
-            is_ours = self._own_vm < vm or now_ms - since_ms >= self._patience_ms
-            if is_ours:
+            is_dial_due = self._own_vm < vm or now_ms - since_ms >= self._dial_delay_ms
+            if is_dial_due:
                 yield from self._dial(member.peer_address, now_ms)
 
-    def iter_entries(self, now_ms: int) -> Iterator[Dial]:
-        """Yield addresses to join through, while there is no neighbour at all."""
-        if self._up:
+    def iter_join_dials(self, now_ms: int) -> Iterator[Dial]:
+        """Yield dials to join the fleet while no stream is open at all."""
+        if self._connected:
             return
-        addresses = self._strangers()
+        addresses = self._unknown_addresses()
         n_addresses = min(N_JOIN_DIALS_MAX, len(addresses))
         for address in self._rng.sample(addresses, n_addresses):
             yield from self._dial(address, now_ms)
 
-    def iter_probe(self, now_ms: int) -> Iterator[Dial]:
-        """Yield one address beyond the known fleet.
+    def iter_probe_dials(self, now_ms: int) -> Iterator[Dial]:
+        """Yield a dial to one address at which no usable member is known.
 
-        A zone that was cut off holds the others for gone, and they it; nobody
-        would ever dial across again, and each side would go on alone.
+        After a network partition each side considers the other one gone. Without
+        these probes neither side would dial the other again, and the fleet would
+        stay split after the network recovers.
         """
-        addresses = self._strangers()
+        addresses = self._unknown_addresses()
         if addresses:
             yield from self._dial(self._rng.choice(addresses), now_ms)
 
     def iter_closes(self, now_ms: int) -> Iterator[Close]:
-        """Yield the streams that have not been wanted for a while."""
-        for vm in sorted(self._up):
+        """Yield closes of the streams that have been unwanted for the grace period."""
+        for vm in sorted(self._connected):
             if vm in self._wanted_since_ms:
                 self._unwanted_since_ms.pop(vm, None)
                 continue
@@ -132,11 +134,11 @@
         self._dialling.add(address)
         yield Dial(address)
 
-    def _strangers(self) -> list[str]:
-        """Return the addresses at which nobody usable is known, in order."""
+    def _unknown_addresses(self) -> list[str]:
+        """Return the sorted addresses at which no usable member is known."""
         members = self._directory.members()
         usable = {m.peer_address for m in members if m.is_usable}
-        return sorted((self._entry_addresses | _gone_addresses(members)) - usable)
+        return sorted((self._join_addresses | _gone_addresses(members)) - usable)
 
 
 def _gone_addresses(members: Iterable[Member]) -> frozenset[str]:
--- a/packages/pepperstair-core/pepperstair_core/membership/liveness.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/liveness.py
@@ -1,4 +1,4 @@
-"""Heartbeats heard from neighbours and the time that suspects have to refute."""
+"""Failure detection: silent neighbours and the refutation time of suspects."""
 
 from __future__ import annotations
 
@@ -6,48 +6,48 @@
 from random import Random
 
 
-class HeardTimes:
-    """When each watched VM was last heard."""
+class LastReceiveTimes:
+    """Tracks when the last frame from each watched VM was received."""
 
     def __init__(self) -> None:
-        self._heard_ms: dict[str, int] = {}
+        self._received_at_ms: dict[str, int] = {}
 
     def watch(self, vm: str, now_ms: int) -> None:
-        """Begin to expect heartbeats of a VM, unless that has begun already."""
-        self._heard_ms.setdefault(vm, now_ms)
+        """Start to expect heartbeats from a VM; no effect if it is watched already."""
+        self._received_at_ms.setdefault(vm, now_ms)
 
-    def hear(self, vm: str, now_ms: int) -> None:
-        """Note that something came from a VM."""
-        self._heard_ms[vm] = now_ms
+    def mark_received(self, vm: str, now_ms: int) -> None:
+        """Record that a frame from a VM was received."""
+        self._received_at_ms[vm] = now_ms
 
     def unwatch(self, vm: str) -> None:
-        """Stop expecting heartbeats of a VM."""
-        self._heard_ms.pop(vm, None)
+        """Stop expecting heartbeats from a VM."""
+        self._received_at_ms.pop(vm, None)
 
     def restart(self, now_ms: int) -> None:
-        """Give every watched VM its full time again.
+        """Restart the silence timers of all watched VMs.
 
-        A daemon that was paused itself has heard nobody; to accuse all its
-        neighbours for that would make the whole fleet refute.
+        A daemon that was paused has received nothing itself. If it suspected its
+        neighbours for that, all of them would have to refute.
         """
-        self._heard_ms = dict.fromkeys(self._heard_ms, now_ms)
+        self._received_at_ms = dict.fromkeys(self._received_at_ms, now_ms)
 
     def silence_ms(self, vm: str, now_ms: int) -> int:
-        """Return how long a VM has been silent, 0 where it is not watched."""
-        return now_ms - self._heard_ms.get(vm, now_ms)
+        """Return how long a VM has been silent, or 0 if it is not watched."""
+        return now_ms - self._received_at_ms.get(vm, now_ms)
 
     def iter_silent(self, now_ms: int, limit_ms: int) -> Iterator[str]:
-        """Yield the watched VMs that have been silent for a time."""
-        for vm, heard_ms in list(self._heard_ms.items()):
-            if now_ms - heard_ms >= limit_ms:
+        """Yield the watched VMs that have been silent for at least `limit_ms`."""
+        for vm, received_at_ms in list(self._received_at_ms.items()):
+            if now_ms - received_at_ms >= limit_ms:
                 yield vm
 
 
 class Suspicions:
-    """The suspected members and when each counts as gone.
+    """Tracks the suspected members and when each one is declared gone.
 
-    Each daemon adds a little jitter, so that the first one's word is known to
-    most of the others before their own time is up.
+    Each daemon adds jitter to the timeout, so that the decision of the first one
+    reaches most of the others before their own timeout expires.
     """
 
     def __init__(self, suspicion_ms: int, rng: Random) -> None:
@@ -56,24 +56,24 @@
         self._due_ms: dict[str, int] = {}
 
     def start(self, vm: str, now_ms: int) -> None:
-        """Give a suspected member its time to refute."""
+        """Start the refutation timeout of a suspected member."""
         jitter_ms = self._rng.randint(0, self._suspicion_ms // 4)
         self._due_ms.setdefault(vm, now_ms + self._suspicion_ms + jitter_ms)
 
     def end(self, vm: str) -> None:
-        """Drop a suspicion that was refuted or has become certain."""
+        """Remove a suspicion that was refuted or confirmed."""
         self._due_ms.pop(vm, None)
 
     def restart(self, now_ms: int) -> None:
-        """Give every suspect its full time again, after a pause of our own."""
+        """Restart the timeouts of all suspects after a pause of this daemon."""
         due_ms = now_ms + self._suspicion_ms
         self._due_ms = dict.fromkeys(self._due_ms, due_ms)
 
-    def iter_due(self, now_ms: int) -> Iterator[str]:
-        """Yield the members whose time to refute is over."""
+    def iter_expired(self, now_ms: int) -> Iterator[str]:
+        """Yield the members whose refutation timeout has expired."""
         for vm, due_ms in list(self._due_ms.items()):
             if due_ms <= now_ms:
                 yield vm
 
 
-__all__ = ["HeardTimes", "Suspicions"]
+__all__ = ["LastReceiveTimes", "Suspicions"]
--- a/packages/pepperstair-core/pepperstair_core/membership/membership.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/membership.py
@@ -1,8 +1,7 @@
-"""How a daemon joins the fleet, watches its neighbours and spreads records.
+"""Joining the fleet, failure detection and dissemination of member records.
 
-Every method takes an event and the time, and yields what is to be done about
-it. The control plane carries that out on real streams, the tests on an
-in-memory network.
+Every method handles an event at a given time and yields the actions to execute.
+The control plane executes them on real streams, the tests on an in-memory network.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 from msgspec.structs import replace
 
 from ..config import MembersSettings, PeersSettings
-from ..members import Member, MemberState, accuse
+from ..members import Member, MemberState, with_state
 from ..wire.control import (
     Heartbeat,
     MemberRanks,
@@ -25,18 +24,18 @@
 from .actions import Action, Close, MemberChanged, Send
 from .directory import MemberDirectory
 from .edges import NeighbourEdges
-from .liveness import HeardTimes, Suspicions
+from .liveness import LastReceiveTimes, Suspicions
 from .neighbours import choose_neighbours
 from .outbox import MemberOutbox
-from .repair import iter_digest_answer, iter_offers, iter_pulls
+from .repair import iter_digest_answer, iter_newer_records, iter_pulls
 
-_PROBE_HEARTBEATS: Final = 5
-_REPAIR_HEARTBEATS: Final = 10
-_FORGET_HEARTBEATS: Final = 3600
+_PROBE_INTERVAL_HEARTBEATS: Final = 5
+_REPAIR_INTERVAL_HEARTBEATS: Final = 10
+_RETENTION_HEARTBEATS: Final = 3600
 
 
 class Membership:
-    """The state of one daemon's part in the fleet."""
+    """The membership state machine of one daemon."""
 
     def __init__(
         self,
@@ -50,202 +49,206 @@
         self._settings = settings
         self._peers = peers
         self._rng = rng
-        self._heard = HeardTimes()
+        self._last_received = LastReceiveTimes()
         self._suspicions = Suspicions(settings.suspicion_ms, rng)
         self._edges = NeighbourEdges(
             directory, peers.seed_addresses, settings.heartbeat_ms, rng
         )
-        self._outbox = MemberOutbox(self._is_far)
+        self._outbox = MemberOutbox(self._is_in_other_zone)
         self._gone_since_ms: dict[str, int] = {}
-        self._is_stale = True
-        # The first beats are spread, so that a herd which starts together does
-        # not go on in step.
+        self._is_choice_due = True
+        # The first heartbeat is jittered, so that daemons which start together do
+        # not send theirs in lockstep.
         self._heartbeat_due_ms = now_ms + rng.randint(0, settings.heartbeat_ms)
         self._repair_due_ms = self._heartbeat_due_ms
         self._probe_due_ms = self._heartbeat_due_ms
 
     @property
     def neighbours(self) -> frozenset[str]:
-        """Return the VMs that a stream is open to."""
-        return self._edges.up
+        """Return the VMs to which a stream is open."""
+        return self._edges.connected
 
     @property
     def is_flush_due(self) -> bool:
-        """Return whether `flush` has something to do."""
-        return self._is_stale or not self._outbox.is_empty
+        """Return whether `flush` has work to do."""
+        return self._is_choice_due or not self._outbox.is_empty
 
     def discover(self, addresses: Iterable[str], now_ms: int) -> Iterator[Action]:
-        """Take addresses found outside of the fleet's own records, and dial them."""
-        self._edges.enter_through(addresses)
-        yield from self._edges.iter_entries(now_ms)
+        """Handle addresses found outside the member records, and dial them."""
+        self._edges.set_join_addresses(addresses)
+        yield from self._edges.iter_join_dials(now_ms)
 
     def publish(self, member: Member) -> Iterator[Action]:
-        """Replace this daemon's own record and tell the fleet."""
+        """Replace this daemon's own record and queue it for all neighbours."""
         before = self.directory.own()
         self.directory.put_own(member)
         self._outbox.add(member)
         yield MemberChanged(before, member)
 
     def leave(self) -> Iterator[Action]:
-        """Tell the fleet that this daemon goes."""
+        """Publish that this daemon leaves the fleet."""
         own = self.directory.own()
         yield from self.publish(
             replace(own, state=MemberState.LEFT, sequence=own.sequence + 1)
         )
 
     def resume(self, now_ms: int) -> Iterator[Action]:
-        """Come back after a pause: a new incarnation, and ask what was missed."""
-        self._heard.restart(now_ms)
+        """Rejoin after a pause with a new incarnation and a repair of the records."""
+        self._last_received.restart(now_ms)
         self._suspicions.restart(now_ms)
-        yield from self._renew(self.directory.own().incarnation)
-        for vm in sorted(self._edges.up):
+        yield from self._raise_incarnation(self.directory.own().incarnation)
+        for vm in sorted(self._edges.connected):
             yield self._digest_to(vm)
 
     def open(
         self, vm: str, address: str, is_dialler: bool, now_ms: int
     ) -> Iterator[Action]:
-        """Take a stream that came up; the side that dialled compares records."""
+        """Handle an opened stream; the dialling side starts to compare records."""
         self._edges.open(vm, address)
-        self._heard.hear(vm, now_ms)
+        self._last_received.mark_received(vm, now_ms)
         self._outbox.open(vm)
-        self._outbox.offer(vm, (self.directory.own(),))
+        self._outbox.enqueue(vm, (self.directory.own(),))
         if is_dialler:
             yield self._digest_to(vm)
 
     def close(self, vm: str, now_ms: int) -> Iterator[Action]:
-        """Take the loss of a stream."""
+        """Handle a closed stream."""
         self._edges.close(vm)
         self._outbox.close(vm)
         if vm not in self._edges.wanted:
-            self._heard.unwatch(vm)
-        self._edges.hurry(vm, now_ms)
+            self._last_received.unwatch(vm)
+        self._edges.skip_dial_delay(vm, now_ms)
         yield from self._edges.iter_dials(now_ms)
 
     def fail(self, address: str, is_refused: bool, now_ms: int) -> Iterator[Action]:
-        """Take a failed dial.
+        """Handle a failed dial.
 
-        A refusal says that no process listens there any more, which is known
-        seconds before the missing heartbeats would tell.
+        A refused connection shows that no process listens there any more, seconds
+        before the missing heartbeats would.
         """
         self._edges.fail(address, now_ms)
         if not is_refused:
             return
-        for vm in sorted(self._edges.wanted - self._edges.up):
+        for vm in sorted(self._edges.wanted - self._edges.connected):
             member = self.directory.get(vm)
             if member is not None and member.peer_address == address:
-                yield from self._accuse(vm, MemberState.SUSPECT, now_ms)
+                yield from self._declare_state(vm, MemberState.SUSPECT, now_ms)
 
     def settle(self, address: str) -> None:
-        """Take a dial that led to a second stream, which is not used."""
+        """Handle a successful dial whose stream is a duplicate and not used."""
         self._edges.settle(address)
 
     def receive(self, vm: str, frame: Any, now_ms: int) -> Iterator[Action]:
-        """Take a frame from a neighbour; those of others are only heard."""
-        self._heard.hear(vm, now_ms)
+        """Handle a frame; kinds of other components only show that the VM is alive."""
+        self._last_received.mark_received(vm, now_ms)
         if isinstance(frame, MemberUpdate):
-            yield from self._take(frame.members, vm, now_ms)
+            yield from self._merge_records(frame.members, vm, now_ms)
         elif isinstance(frame, MembersDigest):
             yield from iter_digest_answer(self.directory, vm, frame)
         elif isinstance(frame, MemberRanks):
-            yield from self._take_ranks(vm, frame)
+            yield from self._merge_ranks(vm, frame)
         elif isinstance(frame, MembersPull):
             found = (self.directory.get(name) for name in frame.vms)
-            self._outbox.offer(vm, (member for member in found if member is not None))
+            self._outbox.enqueue(vm, (member for member in found if member is not None))
 
     def tick(self, now_ms: int) -> Iterator[Action]:
-        """Do what has become due."""
-        yield from self._beat(now_ms)
-        yield from self._judge(now_ms)
-        self._forget(now_ms)
+        """Run the periodic work that is due."""
+        yield from self._send_heartbeats(now_ms)
+        yield from self._check_liveness(now_ms)
+        self._evict_gone(now_ms)
         yield from self._edges.iter_dials(now_ms)
-        yield from self._edges.iter_entries(now_ms)
+        yield from self._edges.iter_join_dials(now_ms)
         yield from self._edges.iter_closes(now_ms)
-        yield from self._outbox.announce()
+        yield from self._outbox.flush_ranks()
         if now_ms >= self._probe_due_ms:
-            self._probe_due_ms = now_ms + self._spread(_PROBE_HEARTBEATS)
-            yield from self._edges.iter_probe(now_ms)
-        if now_ms >= self._repair_due_ms and self._edges.up:
-            self._repair_due_ms = now_ms + self._spread(_REPAIR_HEARTBEATS)
-            yield self._digest_to(self._rng.choice(sorted(self._edges.up)))
+            self._probe_due_ms = now_ms + self._jittered_ms(_PROBE_INTERVAL_HEARTBEATS)
+            yield from self._edges.iter_probe_dials(now_ms)
+        if now_ms >= self._repair_due_ms and self._edges.connected:
+            self._repair_due_ms = now_ms + self._jittered_ms(
+                _REPAIR_INTERVAL_HEARTBEATS
+            )
+            yield self._digest_to(self._rng.choice(sorted(self._edges.connected)))
 
     def flush(
         self, is_writable: Callable[[str], bool], now_ms: int
     ) -> Iterator[Action]:
-        """Choose neighbours anew after changes and send waiting records."""
-        if self._is_stale:
-            self._is_stale = False
+        """Recompute the neighbours after changes and send queued records."""
+        if self._is_choice_due:
+            self._is_choice_due = False
             self._choose_neighbours(now_ms)
             yield from self._edges.iter_dials(now_ms)
         yield from self._outbox.flush(is_writable)
 
-    def _beat(self, now_ms: int) -> Iterator[Action]:
+    def _send_heartbeats(self, now_ms: int) -> Iterator[Action]:
         if now_ms < self._heartbeat_due_ms:
             return
         self._heartbeat_due_ms = now_ms + self._settings.heartbeat_ms
         heartbeat = Heartbeat(self.directory.own().incarnation)
-        for vm in sorted(self._edges.up):
+        for vm in sorted(self._edges.connected):
             yield Send(vm, heartbeat)
 
-    def _judge(self, now_ms: int) -> Iterator[Action]:
-        """Replace silent streams, suspect the silent, give up the suspected.
+    def _check_liveness(self, now_ms: int) -> Iterator[Action]:
+        """Replace silent streams and update the state of silent and suspect members.
 
-        A stream can go silent for good while new ones work; dialling anew one
-        heartbeat before the suspicion keeps the fleet from hearing of that.
+        A stream can fail silently while new ones work. Redialling one heartbeat
+        before the suspicion is due avoids a false suspicion in that case.
         """
         suspect_ms = self._settings.heartbeat_ms * self._settings.n_heartbeats_missed
         redial_ms = max(suspect_ms - self._settings.heartbeat_ms, suspect_ms // 2)
-        for vm in self._heard.iter_silent(now_ms, redial_ms):
-            if vm in self._edges.up:
+        for vm in self._last_received.iter_silent(now_ms, redial_ms):
+            if vm in self._edges.connected:
                 yield Close(vm)
-            if self._heard.silence_ms(vm, now_ms) >= suspect_ms:
-                self._heard.unwatch(vm)
-                yield from self._accuse(vm, MemberState.SUSPECT, now_ms)
-        for vm in self._suspicions.iter_due(now_ms):
-            yield from self._accuse(vm, MemberState.GONE, now_ms)
-
-    def _accuse(self, vm: str, state: MemberState, now_ms: int) -> Iterator[Action]:
+            if self._last_received.silence_ms(vm, now_ms) >= suspect_ms:
+                self._last_received.unwatch(vm)
+                yield from self._declare_state(vm, MemberState.SUSPECT, now_ms)
+        for vm in self._suspicions.iter_expired(now_ms):
+            yield from self._declare_state(vm, MemberState.GONE, now_ms)
+
+    def _declare_state(
+        self, vm: str, state: MemberState, now_ms: int
+    ) -> Iterator[Action]:
         member = self.directory.get(vm)
         if member is not None and member.state < state:
-            yield from self._take((accuse(member, state),), "", now_ms)
+            yield from self._merge_records((with_state(member, state),), "", now_ms)
 
-    def _take(
+    def _merge_records(
         self, members: Iterable[Member], sender: str, now_ms: int
     ) -> Iterator[Action]:
-        """Take records, pass on what is new and answer doubts about ourselves."""
-        for heard in members:
-            if heard.vm == self.directory.own().vm:
-                yield from self._refute(heard.rank)
+        """Merge records, forward the new ones and refute claims about this daemon."""
+        for received in members:
+            if received.vm == self.directory.own().vm:
+                yield from self._refute(received.rank)
                 continue
-            self._outbox.confirm(sender, heard)
-            before = self.directory.get(heard.vm)
-            for member in self.directory.merge((heard,)):
-                self._note_state(before, member, now_ms)
+            self._outbox.discard_known(sender, received)
+            before = self.directory.get(received.vm)
+            for member in self.directory.merge((received,)):
+                self._track_state(before, member, now_ms)
                 self._outbox.add(member, sender)
                 yield MemberChanged(before, member)
 
-    def _take_ranks(self, vm: str, frame: MemberRanks) -> Iterator[Action]:
-        for told in frame.ranks:
-            if told.vm == self.directory.own().vm:
-                yield from self._refute(told.rank)
+    def _merge_ranks(self, vm: str, frame: MemberRanks) -> Iterator[Action]:
+        for remote in frame.ranks:
+            if remote.vm == self.directory.own().vm:
+                yield from self._refute(remote.rank)
             else:
-                self._outbox.confirm(vm, told)
+                self._outbox.discard_known(vm, remote)
         yield from iter_pulls(self.directory, vm, frame)
-        self._outbox.offer(vm, iter_offers(self.directory, frame))
+        self._outbox.enqueue(vm, iter_newer_records(self.directory, frame))
 
     def _refute(self, rank: tuple[int, int, int]) -> Iterator[Action]:
-        """Outrank what others hold of this daemon, where it is not its own word."""
+        """Raise the incarnation if others hold a higher rank for this daemon."""
         if rank > self.directory.own().rank:
-            yield from self._renew(rank[0])
+            yield from self._raise_incarnation(rank[0])
 
-    def _renew(self, incarnation: int) -> Iterator[Action]:
+    def _raise_incarnation(self, incarnation: int) -> Iterator[Action]:
         own = self.directory.own()
         yield from self.publish(
             replace(own, incarnation=incarnation + 1, sequence=own.sequence + 1)
         )
 
-    def _note_state(self, before: Member | None, member: Member, now_ms: int) -> None:
-        # Neighbours follow from who is there; most changes are those of targets.
-        self._is_stale |= before is None or _standing(before) != _standing(member)
+    def _track_state(self, before: Member | None, member: Member, now_ms: int) -> None:
+        # The choice of neighbours does not depend on targets, which change most often.
+        self._is_choice_due |= before is None or _edge_key(before) != _edge_key(member)
         if member.state is MemberState.SUSPECT:
             self._suspicions.start(member.vm, now_ms)
         else:
@@ -262,36 +265,39 @@
             self._peers.n_zone_neighbours,
             self._peers.n_remote_neighbours,
         )
-        for vm in self._edges.wanted - wanted - self._edges.up:
-            self._heard.unwatch(vm)
-        self._edges.want(wanted, now_ms)
+        for vm in self._edges.wanted - wanted - self._edges.connected:
+            self._last_received.unwatch(vm)
+        self._edges.set_wanted(wanted, now_ms)
         for vm in wanted:
-            self._heard.watch(vm, now_ms)
+            self._last_received.watch(vm, now_ms)
 
-    def _is_far(self, vm: str) -> bool:
+    def _is_in_other_zone(self, vm: str) -> bool:
         """Return whether a member is known to be in another availability zone."""
         member = self.directory.get(vm)
         own_zone = self.directory.own().availability_zone
         return member is not None and member.availability_zone != own_zone
 
-    def _forget(self, now_ms: int) -> None:
-        """Drop members that are long gone, or the directory would only grow."""
-        limit_ms = self._settings.heartbeat_ms * _FORGET_HEARTBEATS
+    def _evict_gone(self, now_ms: int) -> None:
+        """Remove members that are gone for the retention time.
+
+        Otherwise the directory would grow without bound.
+        """
+        limit_ms = self._settings.heartbeat_ms * _RETENTION_HEARTBEATS
         for vm, since_ms in list(self._gone_since_ms.items()):
             if now_ms - since_ms >= limit_ms:
                 del self._gone_since_ms[vm]
-                self.directory.forget(vm)
+                self.directory.remove(vm)
 
     def _digest_to(self, vm: str) -> Send:
         return Send(vm, MembersDigest(self.directory.digests()))
 
-    def _spread(self, n_heartbeats: int) -> int:
-        """Return a time around some heartbeats, so that no two daemons step."""
+    def _jittered_ms(self, n_heartbeats: int) -> int:
+        """Return a duration with jitter, so that daemons do not run in lockstep."""
         time_ms = n_heartbeats * self._settings.heartbeat_ms
         return self._rng.randint(time_ms // 2, time_ms * 3 // 2)
 
 
-def _standing(member: Member) -> tuple[int, MemberState, str]:
+def _edge_key(member: Member) -> tuple[int, MemberState, str]:
     return member.incarnation, member.state, member.availability_zone
 
 
--- a/packages/pepperstair-core/pepperstair_core/membership/neighbours.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/neighbours.py
@@ -1,11 +1,11 @@
-"""Who a daemon keeps control streams to.
-
-Members stand on rings, ordered by the rendezvous weight of their names: some
-rings within each availability zone and some over the whole fleet. A daemon's
-neighbours are those next to it on each ring. Every daemon with the same members
-computes the same edges, each ring alone connects all that stand on it, nobody
-has more than two edges a ring, and a member that goes or comes changes the
-edges of those beside it only.
+"""Chooses the members to which a daemon keeps control streams.
+
+Members are placed on rings, ordered by the rendezvous weight of their names: some
+rings within each availability zone and some over the whole fleet. The neighbours
+of a daemon are the members adjacent to it on each ring. Daemons with the same
+member view compute the same edges, each ring alone connects all of its members,
+no member has more than two edges per ring, and a member that joins or leaves
+changes only the edges of the members adjacent to it.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
     n_zone_neighbours: int,
     n_remote_neighbours: int,
 ) -> frozenset[str]:
-    """Return the VMs that a daemon keeps control streams to.
+    """Return the VMs to which a daemon keeps control streams.
 
-    An odd number of neighbours counts as the next even one.
+    An odd number of neighbours is rounded up to the next even number.
     """
     alive = {m.vm: m for m in members if m.state is MemberState.ALIVE}
     alive[own.vm] = own
@@ -41,27 +41,27 @@
 def _iter_edges(
     own: str, names: list[str], key: str, n_neighbours: int
 ) -> Iterator[str]:
-    """Yield those beside a name on each of the rings of a key."""
+    """Yield the names adjacent to a name on each ring of a key."""
     n_rings = -(-n_neighbours // _EDGES_PER_RING)
     for index in range(n_rings):
-        yield from _beside(own, names, f"ring/{key}/{index}")
+        yield from _adjacent(own, names, f"ring/{key}/{index}")
 
 
-def _beside(own: str, names: list[str], key: str) -> tuple[str, str]:
-    """Return the next lower and next higher name on one ring."""
-    own_place = _place(key, own)
-    places = [_place(key, name) for name in names if name != own]
-    if not places:
+def _adjacent(own: str, names: list[str], key: str) -> tuple[str, str]:
+    """Return the previous and the next name on one ring, wrapping around."""
+    own_position = _ring_position(key, own)
+    positions = [_ring_position(key, name) for name in names if name != own]
+    if not positions:
         return own, own
-    highest = max(places)
-    lowest = min(places)
-    before = max((p for p in places if p < own_place), default=highest)
-    after = min((p for p in places if p > own_place), default=lowest)
+    highest = max(positions)
+    lowest = min(positions)
+    before = max((p for p in positions if p < own_position), default=highest)
+    after = min((p for p in positions if p > own_position), default=lowest)
     return before[1], after[1]
 
 
 @functools.lru_cache(maxsize=65_536)
-def _place(key: str, name: str) -> tuple[int, str]:
+def _ring_position(key: str, name: str) -> tuple[int, str]:
     return weight(key, name), name
 
 
--- a/packages/pepperstair-core/pepperstair_core/membership/outbox.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Member records on their way to neighbours."""
+"""Queues of member records to be sent to neighbours."""
 
 from __future__ import annotations
 
@@ -14,102 +14,106 @@
 UPDATE_MAX_RECORDS: Final = 32
 UPDATE_MAX_TARGETS: Final = 128
 FLUSH_MAX_RECORDS: Final = 256
-ANNOUNCED_MAX_RANKS: Final = 512
+FLUSH_MAX_RANKS: Final = 512
 
 
 class MemberOutbox:
-    """The newest record of each member that each neighbour still has to get.
+    """Queues the newest record of each member for each neighbour.
 
-    Each change goes to a neighbour once, however many others told of it in the
-    meantime. Sending in small rounds bounds how much a herd that joins at once
-    can ask of this daemon: what does not fit waits here, where it takes no more
-    than one reference a member and neighbour.
+    Each change is sent to a neighbour once, however many others have sent it to
+    this daemon in the meantime. Sending in rounds of limited size bounds the load
+    when many daemons join at once. Records beyond the limit stay in the queue, at
+    the cost of one reference per member and neighbour.
 
-    A neighbour for which `is_far` holds, one in another availability zone, is told of
-    changes by their ranks alone, with the next `announce`, and asks for those that it
-    lacks. By then most of them have reached it within its zone.
+    A neighbour in another availability zone, for which `is_in_other_zone` returns
+    True, gets only the ranks of changed records with the next `flush_ranks`, and
+    requests the records that it lacks. By then most of them have reached it within
+    its own zone.
     """
 
-    def __init__(self, is_far: Callable[[str], bool] = lambda vm: False) -> None:
-        self._is_far = is_far
+    def __init__(
+        self, is_in_other_zone: Callable[[str], bool] = lambda vm: False
+    ) -> None:
+        self._is_in_other_zone = is_in_other_zone
         self._pending: dict[str, dict[str, Member]] = {}
-        self._announced: dict[str, dict[str, Member]] = {}
+        self._pending_ranks: dict[str, dict[str, Member]] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Return whether nothing waits."""
+        """Return whether no records are queued."""
         return not any(self._pending.values())
 
     def open(self, neighbour: str) -> None:
-        """Begin to queue records for a neighbour."""
+        """Create the queues of a neighbour."""
         self._pending.setdefault(neighbour, {})
-        self._announced.setdefault(neighbour, {})
+        self._pending_ranks.setdefault(neighbour, {})
 
     def close(self, neighbour: str) -> None:
-        """Drop what waits for a neighbour whose stream is gone."""
+        """Discard the queues of a neighbour whose stream was closed."""
         self._pending.pop(neighbour, None)
-        self._announced.pop(neighbour, None)
+        self._pending_ranks.pop(neighbour, None)
 
     def add(self, member: Member, sender: str = "") -> None:
-        """Queue a changed record for every neighbour but the one it came from.
+        """Queue a changed record for every neighbour except its sender.
 
-        A change of this daemon's own goes to all of them whole.
+        This daemon's own record, which has no sender, is sent in full to all
+        neighbours.
         """
         for neighbour, pending in self._pending.items():
             if neighbour == sender:
                 continue
-            if sender and self._is_far(neighbour):
-                self._announced[neighbour][member.vm] = member
+            if sender and self._is_in_other_zone(neighbour):
+                self._pending_ranks[neighbour][member.vm] = member
             else:
                 pending[member.vm] = member
 
-    def confirm(self, neighbour: str, heard: Member | MemberRank) -> None:
-        """Drop what waits for a neighbour that has shown to have it.
+    def discard_known(self, neighbour: str, received: Member | MemberRank) -> None:
+        """Dequeue a record that a neighbour has shown to hold already.
 
-        A change reaches a daemon on several paths; without this it would go
-        back on all but the first of them.
+        A change reaches a daemon on several paths. Without this check it would be
+        sent back on all of them but the first.
         """
-        for queues in (self._pending, self._announced):
+        for queues in (self._pending, self._pending_ranks):
             queue = queues.get(neighbour, {})
-            waiting = queue.get(heard.vm)
-            if waiting is not None and waiting.rank <= heard.rank:
-                del queue[heard.vm]
+            waiting = queue.get(received.vm)
+            if waiting is not None and waiting.rank <= received.rank:
+                del queue[received.vm]
 
-    def offer(self, neighbour: str, members: Iterable[Member]) -> None:
+    def enqueue(self, neighbour: str, members: Iterable[Member]) -> None:
         """Queue records for one neighbour that lacks them."""
         pending = self._pending.get(neighbour)
         if pending is not None:
             pending.update((member.vm, member) for member in members)
 
-    def announce(self) -> Iterator[Send]:
-        """Yield the ranks of what has changed, for neighbours in other zones."""
-        for neighbour, announced in self._announced.items():
-            taken = [*itertools.islice(announced.values(), ANNOUNCED_MAX_RANKS)]
-            for member in taken:
-                del announced[member.vm]
-            if taken:
-                yield Send(neighbour, MemberRanks(b"", tuple(map(rank_of, taken))))
+    def flush_ranks(self) -> Iterator[Send]:
+        """Yield the ranks of changed records to neighbours in other zones."""
+        for neighbour, pending in self._pending_ranks.items():
+            batch = [*itertools.islice(pending.values(), FLUSH_MAX_RANKS)]
+            for member in batch:
+                del pending[member.vm]
+            if batch:
+                yield Send(neighbour, MemberRanks(b"", tuple(map(rank_of, batch))))
 
     def flush(self, is_writable: Callable[[str], bool]) -> Iterator[Send]:
-        """Yield one round of updates, in turn over the neighbours."""
-        n_left = FLUSH_MAX_RECORDS
+        """Yield one round of updates, serving the neighbours in rotation."""
+        n_remaining = FLUSH_MAX_RECORDS
         for neighbour in list(self._pending):
             pending = self._pending[neighbour]
-            if not pending or n_left <= 0 or not is_writable(neighbour):
+            if not pending or n_remaining <= 0 or not is_writable(neighbour):
                 continue
-            taken = list(_iter_round(pending, min(UPDATE_MAX_RECORDS, n_left)))
-            n_left -= len(taken)
-            # To the end of the line, for the next round to start with others.
+            batch = list(_iter_round(pending, min(UPDATE_MAX_RECORDS, n_remaining)))
+            n_remaining -= len(batch)
+            # Moves this neighbour last, so that the next round starts with others.
             del self._pending[neighbour]
             self._pending[neighbour] = pending
-            yield Send(neighbour, MemberUpdate(tuple(pending.pop(vm) for vm in taken)))
+            yield Send(neighbour, MemberUpdate(tuple(pending.pop(vm) for vm in batch)))
 
 
 def _iter_round(pending: dict[str, Member], n_records_max: int) -> Iterator[str]:
-    """Yield the members whose records fit one update.
+    """Yield the members whose records fit into one update.
 
-    Records of VMs with many targets would together exceed the size of a frame:
-    the receiver would close the stream, and get the same frame on the next one.
+    Records of VMs with many targets could together exceed the frame size limit.
+    The receiver would close the stream and get the same frame on the next one.
     """
     n_targets = 0
     for vm, member in itertools.islice(pending.items(), n_records_max):
--- a/packages/pepperstair-core/pepperstair_core/membership/pause.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/pause.py
@@ -1,14 +1,14 @@
-"""Noticing that this process was paused."""
+"""Detection of pauses of this process."""
 
 from __future__ import annotations
 
 
 class PauseDetector:
-    """Compares the clock with when the loop was last seen running.
+    """Detects pauses from the time between two checks of the event loop.
 
-    A VM that is frozen and woken goes on as if nothing had happened: it would
-    run calls that its kernel kept for it, long after others had taken it for
-    gone. Whoever is about to read what the kernel kept asks here first.
+    A VM that is frozen and resumed continues as if nothing had happened. It would
+    run calls that its kernel buffered, long after other daemons have declared it
+    gone. Callers therefore check for a pause before they read buffered data.
 
     >>> detector = PauseDetector(lease_ms=3000, now_ms=0)
     >>> detector.check(250), detector.check(10_000), detector.check(10_250)
@@ -17,12 +17,12 @@
 
     def __init__(self, lease_ms: int, now_ms: int) -> None:
         self._lease_ms = lease_ms
-        self._seen_ms = now_ms
+        self._last_check_ms = now_ms
 
     def check(self, now_ms: int) -> int:
-        """Return how long the process was paused, 0 where it was not."""
-        pause_ms = now_ms - self._seen_ms
-        self._seen_ms = now_ms
+        """Return the length of a pause since the last check, or 0 for none."""
+        pause_ms = now_ms - self._last_check_ms
+        self._last_check_ms = now_ms
         return pause_ms if pause_ms > self._lease_ms else 0
 
 
--- a/packages/pepperstair-core/pepperstair_core/membership/repair.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/repair.py
@@ -1,8 +1,9 @@
-"""Finding the member records that one of two daemons lacks (anti-entropy).
+"""Anti-entropy: exchange of the member records that one of two daemons lacks.
 
-Flooding loses records when a stream breaks at the wrong moment. One random pair
-of neighbours compares digests every few seconds, which costs the same however
-large the fleet is, and only the buckets that differ are talked about.
+Flooding loses records if a stream breaks while they are in flight. Each daemon
+therefore compares digests with one random neighbour every few seconds. The cost
+does not depend on the size of the fleet, and only the buckets that differ are
+exchanged.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 def iter_digest_answer(
     directory: MemberDirectory, sender: str, frame: MembersDigest
 ) -> Iterator[Send]:
-    """Yield the ranks in the buckets that differ, if any do."""
+    """Yield the ranks of all records in the differing buckets, if there are any."""
     buckets = directory.differing_buckets(frame.digests)
     if buckets:
         ranks = tuple(rank_of(member) for member in directory.in_buckets(buckets))
@@ -28,24 +29,26 @@
 def iter_pulls(
     directory: MemberDirectory, sender: str, frame: MemberRanks
 ) -> Iterator[Send]:
-    """Yield a request for the records that are newer at the sender."""
+    """Yield a request for the records of which the sender holds a newer one."""
     own_vm = directory.own().vm
     vms = tuple(
-        told.vm
-        for told in frame.ranks
-        if told.vm != own_vm and _is_older(directory.get(told.vm), told.rank)
+        remote.vm
+        for remote in frame.ranks
+        if remote.vm != own_vm and _is_older(directory.get(remote.vm), remote.rank)
     )
     if vms:
         yield Send(sender, MembersPull(vms))
 
 
-def iter_offers(directory: MemberDirectory, frame: MemberRanks) -> Iterator[Member]:
-    """Yield the records that are older or missing at the sender."""
-    told = {rank.vm: rank.rank for rank in frame.ranks}
+def iter_newer_records(
+    directory: MemberDirectory, frame: MemberRanks
+) -> Iterator[Member]:
+    """Yield the records of which the sender holds an older one or none."""
+    remote_ranks = {rank.vm: rank.rank for rank in frame.ranks}
     for member in directory.in_buckets(frame.buckets):
-        their_rank = told.get(member.vm)
+        remote_rank = remote_ranks.get(member.vm)
         is_lacking = (
-            member.is_usable if their_rank is None else their_rank < member.rank
+            member.is_usable if remote_rank is None else remote_rank < member.rank
         )
         if is_lacking:
             yield member
@@ -55,4 +58,4 @@
     return known is None or known.rank < rank
 
 
-__all__ = ["iter_digest_answer", "iter_offers", "iter_pulls"]
+__all__ = ["iter_digest_answer", "iter_newer_records", "iter_pulls"]
--- a/packages/pepperstair-core/pepperstair_core/membership/rows.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/rows.py
@@ -1,8 +1,8 @@
-"""Member rows in the platform's table: who reads them, which are deleted.
+"""Member rows in the platform's table: which daemon reads and deletes them.
 
-The rows serve discovery only. Every daemon writes its own every few minutes and
-reads all when it joins; after that one daemon of each zone reads them, so that
-what the platform carries grows with the zones and not with the daemons.
+The rows are used for discovery only. Every daemon writes its own row every few
+minutes and reads all rows when it joins. After that one daemon per zone reads them,
+so the read load on the platform grows with the number of zones and not of daemons.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class MemberRow(Struct, frozen=True):
-    """How to reach a daemon, as its row says it."""
+    """The address of a daemon as stored in its row."""
 
     vm: str
     peer_address: str
@@ -28,7 +28,7 @@
 
 
 class RowSweep:
-    """Counts how often in a row each member row was read unchanged."""
+    """Counts the consecutive reads in which each member row was unchanged."""
 
     def __init__(self) -> None:
         self._n_unchanged: dict[MemberRow, int] = {}
@@ -36,7 +36,10 @@
     def iter_dead(
         self, directory: MemberDirectory, rows: Iterable[MemberRow]
     ) -> Iterator[str]:
-        """Yield the VMs whose rows nobody writes any more and nobody needs."""
+        """Yield the VMs whose rows are no longer written and may be deleted.
+
+        That is after 10 unchanged reads, unless the member is still usable.
+        """
         counts = {row: self._n_unchanged.get(row, 0) + 1 for row in rows}
         self._n_unchanged = counts
         for row, n_unchanged in counts.items():
@@ -47,7 +50,7 @@
 
 
 def is_sweeper(own: Member, members: Iterable[Member]) -> bool:
-    """Return whether this daemon reads the rows for its availability zone."""
+    """Return whether this daemon reads the rows on behalf of its zone."""
     zone = own.availability_zone
     names = [
         member.vm
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,7 +13,7 @@
     MemberState,
     Target,
     TargetState,
-    accuse,
+    with_state,
 )
 from pepperstair_core.membership import (
     Dial,
@@ -85,7 +85,7 @@
     """
     own = member("a")
     membership = membership_of(own, member("b"))
-    doubt = MemberUpdate((accuse(own, MemberState.GONE),))
+    doubt = MemberUpdate((with_state(own, MemberState.GONE),))
     list(membership.receive("b", doubt, 10))
     assert membership.directory.own().rank > doubt.members[0].rank
     assert membership.directory.own().state is MemberState.ALIVE
@@ -142,7 +142,7 @@
     assert list(directory.merge([gone])) == []
     list(directory.merge([member("b"), gone]))
     with_gone = directory.digests()
-    directory.forget("b")
+    directory.remove("b")
     assert directory.digests() == with_gone == MemberDirectory(member("a")).digests()
 
 
@@ -151,21 +151,21 @@
     for neighbour in ("b", "c"):
         outbox.open(neighbour)
     outbox.add(member("x"), sender="b")
-    outbox.confirm("c", member("x"))
+    outbox.discard_known("c", member("x"))
     assert outbox.is_empty
 
 
 def test_other_zones_hear_of_changes_by_rank_and_ask_for_what_they_lack():
     """Guards against records that cross zones once for each pair of neighbours."""
-    outbox = MemberOutbox(is_far=lambda vm: vm == "far")
+    outbox = MemberOutbox(is_in_other_zone=lambda vm: vm == "far")
     for neighbour in ("near", "far"):
         outbox.open(neighbour)
     outbox.add(member("x"), sender="b")
     (whole,) = outbox.flush(lambda vm: True)
     assert (whole.vm, whole.frame) == ("near", MemberUpdate((member("x"),)))
-    (told,) = outbox.announce()
+    (told,) = outbox.flush_ranks()
     assert (told.vm, told.frame.ranks) == ("far", (rank_of(member("x")),))
-    assert list(outbox.announce()) == []
+    assert list(outbox.flush_ranks()) == []
     receiver = membership_of(member("far", "pos-b"))
     (asked,) = receiver.receive("a", told.frame, 0)
     assert asked == Send("a", MembersPull(("x",)))
@@ -178,14 +178,14 @@
 
 
 def test_rank_of_what_a_neighbour_has_is_not_told_to_it():
-    outbox = MemberOutbox(is_far=lambda vm: True)
+    outbox = MemberOutbox(is_in_other_zone=lambda vm: True)
     outbox.open("far")
     outbox.add(member("x", sequence=2), sender="b")
-    outbox.confirm("far", rank_of(member("x", sequence=1)))
-    assert len(list(outbox.announce())) == 1
+    outbox.discard_known("far", rank_of(member("x", sequence=1)))
+    assert len(list(outbox.flush_ranks())) == 1
     outbox.add(member("x", sequence=2), sender="b")
-    outbox.confirm("far", rank_of(member("x", sequence=2)))
-    assert list(outbox.announce()) == []
+    outbox.discard_known("far", rank_of(member("x", sequence=2)))
+    assert list(outbox.flush_ranks()) == []
 
 
 def test_change_of_a_target_leaves_the_neighbours_as_they_are():
@@ -202,7 +202,7 @@
 
 def test_own_change_goes_whole_to_every_zone():
     """Guards against targets that other zones hear of a round later than needed."""
-    outbox = MemberOutbox(is_far=lambda vm: True)
+    outbox = MemberOutbox(is_in_other_zone=lambda vm: True)
     outbox.open("far")
     outbox.add(member("own"))
     (sent,) = outbox.flush(lambda vm: True)
@@ -215,7 +215,7 @@
     records = fleet(600)
     for index in range(40):
         outbox.open(f"joiner-{index}")
-        outbox.offer(f"joiner-{index}", records)
+        outbox.enqueue(f"joiner-{index}", records)
     sent: list[Send] = list(outbox.flush(lambda vm: True))
     assert len(sent) == 8
     assert all(len(item.frame.members) <= UPDATE_MAX_RECORDS for item in sent)
@@ -230,7 +230,7 @@
     outbox.open("b")
     labels = tuple((f"label-{index}", "value" * 8) for index in range(8))
     target = Target("ledger", "127.0.0.1:1", labels, 9, 120, TargetState.SERVING)
-    outbox.offer("b", [replace(m, targets=(target,) * 100) for m in fleet(40)])
+    outbox.enqueue("b", [replace(m, targets=(target,) * 100) for m in fleet(40)])
     n_sent = 0
     while not outbox.is_empty:
         for sent in outbox.flush(lambda vm: True):
