--- a/packages/pepperstair-core/pepperstair_core/array_record.py
+++ b/packages/pepperstair-core/pepperstair_core/array_record.py
@@ -1,4 +1,4 @@
-"""Frozen records whose msgpack form is an array of their fields, in order."""
+"""Base class of records that are encoded as arrays of their fields, in order."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ArrayRecord(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A record that daemons exchange, alone or nested in another one."""
+    """An immutable record that daemons exchange, alone or nested in another one."""
 
 
 __all__ = ["ArrayRecord"]
--- a/packages/pepperstair-core/pepperstair_core/wire/__init__.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Frames between daemons and their msgpack form."""
+"""Frames between daemons and their msgpack encoding."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-core/pepperstair_core/wire/codec.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/codec.py
@@ -1,8 +1,8 @@
-"""Frames as msgpack arrays: a kind number and the fields in order.
+"""Codec for frames, which are msgpack arrays of a kind number and the fields.
 
-A frame is a subclass of `Frame` whose tag is its kind number. Nothing that arrives
-becomes a frame unless every field has its declared type, so the code behind the
-decoder never meets a malformed one.
+A frame is a subclass of `Frame` whose tag is its kind number. The decoder rejects
+a frame unless every field has its declared type, so the code that handles frames
+never receives a malformed one.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 
 class FrameError(Exception):
-    """Bytes that are no frame: the stream that carried them is closed."""
+    """Raised for bytes that are not a valid frame; the stream is then closed."""
 
 
 def encode_frame(message: Frame) -> bytes:
-    """Return the msgpack form of a frame."""
+    """Return the msgpack encoding of a frame."""
     return _ENCODER.encode(message)
 
 
 class FrameDecoder:
-    """Cuts a stream of bytes into frames, within a cap on the size of each.
+    """Decodes a byte stream into frames of limited size.
 
-    A peer that announced a huge array or string would otherwise make this
-    process buffer without bound; the operator would see its memory climb. The
-    unpacker refuses to hold more than one frame of the permitted size.
+    Without the limit, a peer that sends the header of a huge array or string would
+    make this process buffer data without bound. The unpacker's buffer is limited to
+    twice the maximum frame size.
     """
 
     def __init__(self, frame_max_bytes: int) -> None:
@@ -44,11 +44,14 @@
         self._frame_max_bytes = frame_max_bytes
         self._decode = _frame_decoder().decode
         self._buffer = bytearray()
-        # Bytes of the stream that came before the buffer.
+        # Offset of the buffer in the stream.
         self._n_decoded_bytes = 0
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        """Yield each frame that the bytes complete, or raise FrameError."""
+        """Yield each frame that the bytes complete.
+
+        Raises FrameError for a malformed or oversized frame.
+        """
         self._buffer += data
         try:
             self._unpacker.feed(data)
@@ -63,7 +66,7 @@
         self._check_size(len(self._buffer))
 
     def _iter_ends(self) -> Iterator[int]:
-        """Yield where each complete frame ends in the buffer of that moment."""
+        """Yield the end offset of each complete frame in the current buffer."""
         while True:
             try:
                 self._unpacker.skip()
@@ -73,12 +76,17 @@
 
     def _check_size(self, n_bytes: int) -> None:
         if n_bytes > self._frame_max_bytes:
-            raise FrameError(f"frame of over {self._frame_max_bytes} bytes")
+            raise FrameError(
+                f"frame exceeds the limit of {self._frame_max_bytes} bytes"
+            )
 
 
 @functools.cache
 def _frame_decoder() -> msgspec.msgpack.Decoder:
-    """Return the decoder of every frame, made once all of them are declared."""
+    """Return the decoder for all frames.
+
+    It is created on first use, when all frame classes are declared.
+    """
     return msgspec.msgpack.Decoder(
         functools.reduce(operator.or_, Frame.__subclasses__())
     )
--- a/packages/pepperstair-core/pepperstair_core/wire/control.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/control.py
@@ -1,7 +1,7 @@
 """Frames of control streams: configuration, members and heartbeats.
 
-Kind numbers 1 to 39. Every stream, control or data, opens with `Hello`, which
-the listening side answers with `Welcome`.
+Control frames have the kind numbers 1 to 39. Every stream, control or data, starts
+with `Hello`, to which the listening side replies with `Welcome`.
 """
 
 from __future__ import annotations
@@ -18,18 +18,19 @@
 
 
 class StreamKind(StrEnum):
-    """What a stream carries."""
+    """The kind of frames that a stream carries."""
 
     CONTROL = "control"
     DATA = "data"
 
 
 class Hello(Frame, tag=1):
-    """Opens a stream: who connects, and what the stream is for.
+    """Opens a stream with the identity of the connecting daemon and its purpose.
 
-    `start_id` names the process, whatever its incarnation becomes: a call may
-    be asked for again only from the process that took it. `sequence` rises with
-    each stream that the process opens, and fences off the earlier ones.
+    `start_id` identifies the process and, unlike the incarnation, does not change
+    while it runs: the outcome of a call may be queried only from the process that
+    accepted it. `sequence` rises with each stream that the process opens, and fences
+    the earlier ones.
     """
 
     protocol_version: int
@@ -41,9 +42,10 @@
 
 
 class Welcome(Frame, tag=2):
-    """Answers a Hello with the identity of the listening daemon.
+    """Replies to a Hello with the identity of the listening daemon.
 
-    Its streams may be silent for `silence_ms` without being lost, as its link is slow.
+    Because its link may be slow, its streams may be silent for `silence_ms` before
+    they count as lost.
     """
 
     vm: str
@@ -52,10 +54,10 @@
 
 
 class Heartbeat(Frame, tag=3):
-    """Says that the sender's loop still runs; sent on every stream.
+    """Shows that the sender's event loop is running; sent on every stream.
 
-    `loads` gives, on data streams, each local target with the requests it has
-    in flight and waiting.
+    On data streams, `loads` holds the name of each local target and the numbers of
+    its requests in flight and queued.
     """
 
     incarnation: int
@@ -63,27 +65,27 @@
 
 
 class Have(Frame, tag=10):
-    """Says which version of a customer the sender holds, in force or not."""
+    """Announces the version of a customer that the sender holds, in force or not."""
 
     customer: str
     version: int
 
 
 class DeltaPush(Frame, tag=11):
-    """Carries a new version to a neighbour as a difference."""
+    """Pushes a new version to a neighbour as a delta."""
 
     delta: Delta
 
 
 class Pull(Frame, tag=12):
-    """Asks for a customer's version; `held_version` is 0 for nothing held."""
+    """Requests a customer's version; `held_version` is 0 if none is held."""
 
     customer: str
     held_version: int
 
 
 class SnapshotPart(Frame, tag=13):
-    """Carries a piece of a full snapshot, so that none blocks the stream."""
+    """Carries a part of a full snapshot, which would block the stream in one piece."""
 
     head: Head
     index: int
@@ -92,13 +94,13 @@
 
 
 class Prune(Frame, tag=14):
-    """Asks the neighbour to announce this customer instead of pushing it."""
+    """Requests to announce a customer's versions instead of pushing them."""
 
     customer: str
 
 
 class Busy(Frame, tag=15):
-    """Declines a Pull for now and names other daemons to ask."""
+    """Rejects a Pull for now and names other daemons to pull from."""
 
     customer: str
     retry_after_ms: int
@@ -106,7 +108,7 @@
 
 
 class Acknowledge(Frame, tag=16):
-    """Tells, towards the collecting daemon, where a version is in force."""
+    """Reports to the collecting daemon on which VMs a version is in force."""
 
     collector: str
     customer: str
@@ -115,14 +117,14 @@
 
 
 class HeadsDigest(Frame, tag=17):
-    """Compares the versions that both sides hold, for repair of what was missed.
-
-    Without `versions` it only carries the digest; where the digests differ, the
-    receiver answers with its versions, and each side then pulls what it lacks.
-    An empty digest asks for the answer in any case. `has_known_floor`
-    says that the sender remembers what it held, unlike a daemon that has just
-    started. An answer repeats the question's `number`, so that one which waited in a
-    buffer while the asking process was paused isn't taken for news.
+    """Compares the versions that both sides hold, to repair missed updates.
+
+    A request carries only the digest. If the digests differ, the receiver answers
+    with its `versions`, and each side then pulls what it lacks. A request with an
+    empty digest is always answered. `has_known_floor` is set if the sender remembers
+    which versions it held, unlike a daemon that has just started. An answer repeats
+    the `number` of its request, so that an answer which was buffered while the
+    requesting process was paused is recognised as stale.
     """
 
     digest: bytes
@@ -133,10 +135,10 @@
 
 
 class Inquire(Frame, tag=18):
-    """Asks the fleet to acknowledge a version towards the collecting daemon.
+    """Requests that the fleet acknowledges a version to the collecting daemon.
 
-    It is passed on once by every daemon, and the way it came is the way that
-    the acknowledgements go back.
+    Every daemon forwards it once. Acknowledgements return along the path on which it
+    was received.
     """
 
     collector: str
@@ -146,9 +148,9 @@
 
 
 class PollerSign(Frame, tag=19):
-    """Says within a zone that a poller lives, and whether the platform answers.
+    """Shows its zone that a poller is alive, and whether the platform is reachable.
 
-    `number` tells the signs of one poller apart, so that each is passed on once.
+    `number` distinguishes the frames of one poller, so that each is forwarded once.
     """
 
     vm: str
@@ -157,26 +159,26 @@
 
 
 class MemberUpdate(Frame, tag=20):
-    """Carries member records that are new to the sender."""
+    """Carries member records that have changed or that the receiver lacks."""
 
     members: tuple[Member, ...]
 
 
 class MembersDigest(Frame, tag=21):
-    """Compares the member records of both sides, for repair of what was missed.
+    """Compares the member records of both sides, to repair missed updates.
 
-    `digests` holds one digest a bucket of members; the receiver answers with
-    `MemberRanks` where some differ, and not at all where none does.
+    `digests` holds one digest per bucket of members. The receiver answers with
+    `MemberRanks` if any of them differ, and does not answer otherwise.
     """
 
     digests: bytes
 
 
 class MemberRanks(Frame, tag=22):
-    """Tells which records the sender holds in the buckets that differ.
+    """Lists the records that the sender holds in the differing buckets.
 
-    The receiver sends the records that are newer on its side, and asks for
-    those that are older or missing there.
+    The receiver sends the records of which it holds a newer one, and requests those
+    of which it holds an older one or none.
     """
 
     buckets: bytes
@@ -184,28 +186,29 @@
 
 
 class MembersPull(Frame, tag=23):
-    """Asks for the records of some members."""
+    """Requests the records of some members."""
 
     vms: tuple[str, ...]
 
 
 class DocumentHave(Frame, tag=24):
-    """Says which version of the followed document the sender has in force."""
+    """Announces the version of the followed document that the sender has in force."""
 
     version: int
 
 
 class DocumentPull(Frame, tag=25):
-    """Asks for the followed document, as the receiver's one is newer."""
+    """Requests the followed document, of which the receiver has a newer version."""
 
     held_version: int
 
 
 class DocumentCopy(Frame, tag=26):
-    """Carries the followed document as it stands in its source, packed.
+    """Carries the followed document as read from its source, compressed.
 
-    `position` is how far the source's history was known when it was read there, and
-    `age_ms` how long ago it was known to be the newest, -1 where that is not known.
+    `position` is the position in the source's history up to which changes were known
+    when it was read. `age_ms` is the time since the document was known to be the
+    newest, -1 if unknown.
     """
 
     packed: bytes
@@ -214,9 +217,9 @@
 
 
 class DocumentFresh(Frame, tag=27):
-    """Says that the sender's version of the document was the newest a while ago.
+    """Confirms that the sender's version of the document was the newest `age_ms` ago.
 
-    `position` is that of the source's history at that moment.
+    `position` is the position in the source's history at that time.
     """
 
     version: int
@@ -225,9 +228,9 @@
 
 
 class DocumentDelta(Frame, tag=28):
-    """Carries what changed in the followed document since a version, packed.
+    """Carries the changes to the followed document since a version, compressed.
 
-    The other fields are those of a copy.
+    `position` and `age_ms` have the same meaning as in `DocumentCopy`.
     """
 
     base_version: int
@@ -237,7 +240,7 @@
 
 
 class CrashRecords(Frame, tag=29):
-    """Tells which requests were running when targets crashed."""
+    """Reports the requests that were running when targets crashed."""
 
     records: tuple[CrashRecord, ...]
 
--- a/packages/pepperstair-core/pepperstair_core/wire/data.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/data.py
@@ -1,8 +1,8 @@
-"""Frames of data streams: calls and their answers.
+"""Frames of data streams: calls and their responses.
 
-Kind numbers 40 to 59. A call's id is chosen by the daemon that sends it and is
-unique within that daemon's process; answers are matched by it, whatever order
-they come in.
+Data frames have the kind numbers 40 to 59. The id of a call is chosen by the daemon
+that sends it and is unique within that daemon's process. Responses are matched by
+this id and may arrive in any order.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 class CallHead(Frame, tag=40):
-    """Opens a call: the request's head and how to treat it.
+    """Opens a call with the head of the request and its handling parameters.
 
-    `time_left_ms` is relative, as clocks of two VMs differ. `has_body` says
-    that body parts and an end follow. `wanted_left_ms` is the time in which the
-    answer is worth most to the caller, negative where the route states none.
-    `fingerprint` is equal for requests that ask for the same work.
+    `time_left_ms` is relative, as the clocks of two VMs differ. If `has_body` is set,
+    `BodyPart` frames and a `BodyEnd` follow. `wanted_left_ms` is the remaining time
+    within which the response has its full value for the caller, negative if the route
+    defines none. `fingerprint` is equal for requests that ask for the same work.
     """
 
     call_id: int
@@ -45,29 +45,29 @@
 
 
 class BodyPart(Frame, tag=41):
-    """A piece of a request's or an answer's body, at most 64 KB."""
+    """Carries a part of a request or response body, at most 64 KB."""
 
     call_id: int
     data: bytes
 
 
 class BodyEnd(Frame, tag=42):
-    """Marks a body as whole; a body without it was cut."""
+    """Marks a body as complete; a body without it was truncated."""
 
     call_id: int
 
 
 class Credit(Frame, tag=43):
-    """Permits the other side to send more bytes of a call's body."""
+    """Allows the other side to send `n_bytes` more of a call's body."""
 
     call_id: int
     n_bytes: int
 
 
 class AnswerHead(Frame, tag=44):
-    """Opens the target's answer to a call.
+    """Opens the target's response to a call.
 
-    `n_in_flight` and `n_queued` tell how loaded the target is.
+    `n_in_flight` and `n_queued` are the load of the target.
     """
 
     call_id: int
@@ -78,7 +78,7 @@
 
 
 class CallFailed(Frame, tag=45):
-    """Ends a call without the target's answer, or cuts one that had begun."""
+    """Ends a call without a response, or truncates a response that has started."""
 
     call_id: int
     kind: ErrorKind
@@ -90,26 +90,27 @@
 
 
 class Reset(Frame, tag=46):
-    """Says that the sender no longer wants the call."""
+    """Cancels a call whose response the sender no longer needs."""
 
     call_id: int
 
 
 class CallQuery(Frame, tag=47):
-    """Asks what became of a call whose stream was lost.
+    """Queries the outcome of a call whose stream was lost.
 
-    The receiver sends the kept answer, or keeps the asker waiting for the run
-    in progress, or fails the call: as not run where it never came and would be
-    refused if it still did, otherwise as unknown.
+    The receiver sends the stored response. If the call is still running, its response
+    follows on completion. Otherwise the receiver fails the call: as not run if the
+    call was never received and would be refused if it still arrived, and as unknown
+    in all other cases.
     """
 
     call_id: int
 
 
 class CallsDone(Frame, tag=48):
-    """Says that the sender has the whole answers of some calls.
+    """Confirms that the sender has received the complete responses of some calls.
 
-    The receiver need not keep them any longer; they go with the heartbeats.
+    The receiver may then discard them. Sent together with the heartbeats.
     """
 
     call_ids: tuple[int, ...]
--- a/packages/pepperstair-core/pepperstair_core/wire/packing.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/packing.py
@@ -1,8 +1,8 @@
-"""Large values on the wire, packed.
+"""Compression of large values in frames.
 
-A document of thousands of routes, as its operators write it, would not pass as one
-frame: the receiver would close the stream that carries the members too. On a narrow
-link it would hold up all calls.
+An uncompressed document with thousands of routes exceeds the frame size limit. The
+receiver would close the control stream, which also carries the member records. On a
+link of low bandwidth the document would delay all calls.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 import zlib
 from typing import Final
 
-# The fastest level: the slower ones gained nothing on such documents.
+# The fastest level: slower levels bring no gain on such documents.
 _LEVEL: Final = 1
 UNPACKED_MAX_BYTES: Final = 16 * 1024 * 1024
 
 
 def pack(data: bytes) -> bytes:
-    """Return data in fewer bytes.
+    """Return the data compressed with zlib.
 
     >>> unpack(pack(b"routes")) == b"routes"
     True
@@ -25,16 +25,17 @@
 
 
 def unpack(packed: bytes) -> bytes | None:
-    """Return packed data, None where it is damaged or larger than anything sent.
+    """Return the decompressed data, or None if it is damaged or too large.
 
-    Without the bound a few bytes could unpack to more than the memory of the VM.
+    The limit is above the size of anything that is sent. Without it, a few bytes
+    could decompress to more than the memory of the VM.
     """
-    unpacking = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        data = unpacking.decompress(packed, UNPACKED_MAX_BYTES)
+        data = decompressor.decompress(packed, UNPACKED_MAX_BYTES)
     except zlib.error:
         return None
-    return data if unpacking.eof else None
+    return data if decompressor.eof else None
 
 
 __all__ = ["UNPACKED_MAX_BYTES", "pack", "unpack"]
