--- a/packages/pepperstair-core/pepperstair_core/burn/__init__.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/__init__.py
@@ -1,7 +1,7 @@
-"""Service-level burn: the counts of one daemon.
+"""Service-level objectives: the call counts of one daemon.
 
-The report over many daemons is `pepperstair_core.burn.report`. It is not imported
-here, as the daemon has no use for it and pays for each import with memory.
+The report over many daemons is in `pepperstair_core.burn.report`. It is not imported
+here, as the daemon does not use it and each import costs memory.
 """
 
 from __future__ import annotations
--- a/packages/pepperstair-core/pepperstair_core/burn/counts.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/counts.py
@@ -1,9 +1,9 @@
-"""Counts of calls and convergence times of one daemon, in bounded memory.
+"""Call counts and convergence times of one daemon, in bounded memory.
 
-Each customer has two rings of buckets: one of 30 s over the last hour, one of
-10 min over three days. A bucket is six counters of four bytes. A customer takes
-18 KB with its convergence times and all up to the cap less than 2 MB, to which
-`tests/test_burn.py` holds it.
+Each customer has two ring buffers of time buckets: buckets of 30 s over the last
+hour, and buckets of 10 min over three days. A bucket consists of six counters of four
+bytes. One customer takes 18 KB including its convergence times, and the maximum
+number of customers takes less than 2 MB, which `tests/test_burn.py` checks.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 _PRIORITIES: Final = {"urgent": 0, "normal": 3}
 _LATE_KINDS: Final = frozenset({ErrorKind.TIMEOUT, ErrorKind.DEADLINE_BEFORE_RUN})
-# The caller's own doing, which says nothing about the service.
+# Errors caused by the caller, which do not reflect the quality of the service.
 _UNCOUNTED_KINDS: Final = frozenset(
     {
         ErrorKind.BAD_REQUEST,
@@ -49,7 +49,7 @@
 
 
 class OutcomeClass(IntEnum):
-    """How a call counts towards the objective."""
+    """The class of a call's outcome with regard to the objective."""
 
     GOOD = 0
     FAILED = 1
@@ -57,10 +57,10 @@
 
 
 def classify_outcome(outcome: CallOutcome) -> OutcomeClass | None:
-    """Return how a call counts, or None where it does not.
+    """Return the outcome class of a call, or None if it does not count.
 
-    Late is a call that its timeout ended; failed is any other without the
-    target's whole answer, or with an answer of status 500 and above.
+    A call is late if its timeout ended it. Any other call has failed if it got no
+    complete response from the target, or a response with a status of 500 or above.
     """
     if outcome.error in _UNCOUNTED_KINDS:
         return None
@@ -76,19 +76,19 @@
 
     def __init__(self, now_ms: int) -> None:
         self._started_at_ms = now_ms
-        self._customers: dict[str, _Counts] = {}
+        self._customers: dict[str, _CustomerCounter] = {}
 
     def add(self, outcome: CallOutcome, now_ms: int) -> None:
         """Count one call of urgent or normal priority."""
-        first = _PRIORITIES.get(outcome.priority)
+        first_counter = _PRIORITIES.get(outcome.priority)
         outcome_class = classify_outcome(outcome)
-        if first is None or outcome_class is None or not outcome.customer:
+        if first_counter is None or outcome_class is None or not outcome.customer:
             return
-        self._counts_of(outcome.customer).add(first + outcome_class, now_ms)
+        self._counter_of(outcome.customer).add(first_counter + outcome_class, now_ms)
 
     def add_convergence(self, customer: str, now_ms: int, duration_ms: int) -> None:
-        """Keep how long a change took until it was in force everywhere."""
-        self._counts_of(customer).convergences.add(now_ms, duration_ms)
+        """Record the time that a change took until it was in force everywhere."""
+        self._counter_of(customer).convergences.add(now_ms, duration_ms)
 
     def snapshot(
         self, vm: str, now_ms: int, objectives: Mapping[str, tuple[int, Objectives]]
@@ -100,44 +100,44 @@
     def iter_customers(
         self, now_ms: int, objectives: Mapping[str, tuple[int, Objectives]]
     ) -> Iterator[CustomerCounts]:
-        """Yield the counts of each customer, by name.
+        """Yield the counts of each customer, sorted by name.
 
-        Calls may be counted between two of them, so that whoever reads many can
-        let calls pass in between.
+        Calls may be counted between two items, so a caller that reads many customers
+        can yield to the event loop in between.
         """
         for name, counts in sorted(self._customers.items()):
             version, objective = objectives.get(name, (0, Objectives()))
             yield counts.snapshot(name, now_ms, version, objective)
 
     def lived_ms(self, now_ms: int) -> int:
-        """Return for how long these counts have been kept."""
+        """Return the time for which these counts have been kept."""
         return now_ms - self._started_at_ms
 
-    def _counts_of(self, customer: str) -> _Counts:
-        """Return a customer's counts, or those of all customers over the cap.
+    def _counter_of(self, customer: str) -> _CustomerCounter:
+        """Return a customer's counter, or the shared one of customers over the limit.
 
-        Without the cap, documents for ever new customers would make the memory
-        of every daemon grow until it is ended.
+        Without the limit, documents for more and more new customers would make the
+        memory of every daemon grow until it is killed.
         """
         counts = self._customers.get(customer)
         if counts is not None:
             return counts
         if len(self._customers) >= N_CUSTOMERS_MAX:
             customer = OTHER_CUSTOMERS
-        return self._customers.setdefault(customer, _Counts())
+        return self._customers.setdefault(customer, _CustomerCounter())
 
 
-class _Counts:
-    """The counts of one customer."""
+class _CustomerCounter:
+    """Counts the calls and convergences of one customer."""
 
     def __init__(self) -> None:
-        self._short = _Ring(_SHORT_BUCKET_MS, _SHORT_SPAN_MS)
-        self._long = _Ring(_LONG_BUCKET_MS, LONGEST_WINDOW_MS)
-        self.convergences = _Convergences()
+        self._short = _BucketRing(_SHORT_BUCKET_MS, _SHORT_SPAN_MS)
+        self._long = _BucketRing(_LONG_BUCKET_MS, LONGEST_WINDOW_MS)
+        self.convergences = _ConvergenceRing()
 
-    def add(self, slot: int, now_ms: int) -> None:
-        self._short.add(slot, now_ms)
-        self._long.add(slot, now_ms)
+    def add(self, counter_index: int, now_ms: int) -> None:
+        self._short.add(counter_index, now_ms)
+        self._long.add(counter_index, now_ms)
 
     def snapshot(
         self, customer: str, now_ms: int, version: int, objectives: Objectives
@@ -152,48 +152,48 @@
         return WindowCounts(window_ms, CallCounts(*sums[:3]), CallCounts(*sums[3:]))
 
 
-class _Ring:
-    """Six counters in each of the newest buckets of time.
+class _BucketRing:
+    """Holds six counters for each of the newest time buckets.
 
-    A window counts its whole buckets and the one that is being filled, so it
-    reaches back by up to one bucket less than its length.
+    A window consists of its complete buckets and the current, partly filled one. It
+    is therefore up to one bucket shorter than its nominal length.
     """
 
     def __init__(self, bucket_ms: int, span_ms: int) -> None:
         self._bucket_ms = bucket_ms
         self._n_buckets = span_ms // bucket_ms
-        self._slots = tuple(array("I", bytes(4 * self._n_buckets)) for _ in range(6))
-        self._newest = 0
+        self._counters = tuple(array("I", bytes(4 * self._n_buckets)) for _ in range(6))
+        self._newest_bucket = 0
 
-    def add(self, slot: int, now_ms: int) -> None:
+    def add(self, counter_index: int, now_ms: int) -> None:
         self._advance(now_ms)
-        self._slots[slot][self._newest % self._n_buckets] += 1
+        self._counters[counter_index][self._newest_bucket % self._n_buckets] += 1
 
     def sums(self, window_ms: int, now_ms: int) -> tuple[int, ...]:
         self._advance(now_ms)
-        end = self._newest % self._n_buckets + 1
+        end = self._newest_bucket % self._n_buckets + 1
         start = end - window_ms // self._bucket_ms
-        return tuple(self._sum(slot, start, end) for slot in self._slots)
+        return tuple(self._sum(counter, start, end) for counter in self._counters)
 
-    def _sum(self, slot: array, start: int, end: int) -> int:
+    def _sum(self, counter: array, start: int, end: int) -> int:
         if start >= 0:
-            return sum(slot[start:end])
-        return sum(slot[:end]) + sum(slot[start + self._n_buckets :])
+            return sum(counter[start:end])
+        return sum(counter[:end]) + sum(counter[start + self._n_buckets :])
 
     def _advance(self, now_ms: int) -> None:
-        """Clear the buckets that the time has come round to again."""
+        """Clear the buckets that are reused for the time since the last call."""
         bucket = now_ms // self._bucket_ms
-        if bucket <= self._newest:
+        if bucket <= self._newest_bucket:
             return
-        first = max(self._newest + 1, bucket - self._n_buckets + 1)
+        first = max(self._newest_bucket + 1, bucket - self._n_buckets + 1)
         for stale in range(first, bucket + 1):
-            for slot in self._slots:
-                slot[stale % self._n_buckets] = 0
-        self._newest = bucket
+            for counter in self._counters:
+                counter[stale % self._n_buckets] = 0
+        self._newest_bucket = bucket
 
 
-class _Convergences:
-    """The newest convergence times, eight bytes each for time and duration."""
+class _ConvergenceRing:
+    """Holds the newest convergences, with eight bytes each for time and duration."""
 
     def __init__(self) -> None:
         self._at_ms = array("q")
--- a/packages/pepperstair-core/pepperstair_core/burn/messages.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/messages.py
@@ -1,4 +1,4 @@
-"""What one daemon counted, as `GET /v1/burn` tells it."""
+"""The counts of one daemon, as returned by `GET /v1/burn`."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class CallCounts(Struct, frozen=True):
-    """Calls of one priority in one window, by how they ended."""
+    """The calls of one priority in one window, by outcome class."""
 
     n_good: int = 0
     n_failed: int = 0
@@ -35,7 +35,7 @@
 
     @property
     def n_calls(self) -> int:
-        """Return how many calls count towards the objective."""
+        """Return the number of calls that count towards the objective."""
         return self.n_good + self.n_failed + self.n_late
 
     def __add__(self, other: CallCounts) -> CallCounts:
@@ -47,7 +47,7 @@
 
 
 class WindowCounts(Struct, frozen=True):
-    """The calls of one window that ends now."""
+    """The calls of one window, which ends at the time of the report."""
 
     window_ms: int
     urgent: CallCounts
@@ -55,17 +55,17 @@
 
 
 class Convergence(Struct, frozen=True):
-    """One change: how long ago it was in force everywhere, and after how long."""
+    """The time since a change was in force everywhere, and how long that took."""
 
     age_ms: int
     duration_ms: int
 
 
 class CustomerCounts(Struct, frozen=True):
-    """What a daemon counted for one customer.
+    """The counts of one daemon for one customer.
 
-    `version` is the version that the objectives come from, 0 where the daemon
-    holds none.
+    `version` is the version from which the objectives are taken, 0 if the daemon holds
+    none.
     """
 
     customer: str
@@ -76,7 +76,7 @@
 
 
 class DaemonCounts(Struct, frozen=True):
-    """What a daemon counted since it was started, `lived_ms` ago."""
+    """The counts of one daemon since its start, `lived_ms` ago."""
 
     vm: str
     lived_ms: int
@@ -84,12 +84,12 @@
 
 
 def counts_to_table(counts: DaemonCounts) -> dict[str, Any]:
-    """Return a daemon's counts as plain tables, ready for JSON."""
+    """Return a daemon's counts as built-in types that can be encoded as JSON."""
     return msgspec.to_builtins(counts)
 
 
 def read_counts(table: object) -> Result[DaemonCounts, list[Fault]]:
-    """Read a daemon's counts, or list what is wrong with them."""
+    """Return a daemon's counts parsed from decoded JSON, or the faults found."""
     return read_record(DaemonCounts, table, "")
 
 
--- a/packages/pepperstair-core/pepperstair_core/burn/report.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/report.py
@@ -1,10 +1,10 @@
-"""Burn rates, budgets and alerts over the counts of many daemons.
+"""Burn rates, error budgets and alerts over the counts of many daemons.
 
 The method is that of Google's SRE Workbook, chapter "Alerting on SLOs". The burn
-rate is the share of calls that missed the objective over the share that may miss
-it: at 1, the budget of the longest window is used up exactly at its end. An alert
-fires where both of its windows burn above its threshold: the long one shows that
-the loss matters, the short one that it still goes on.
+rate is the share of calls that missed the objective, divided by the share that may
+miss it: at a rate of 1, the budget of the longest window is used up exactly at its
+end. An alert fires if the burn rates of both of its windows exceed its threshold: the
+long window shows that the loss is significant, the short one that it is ongoing.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class AlertRule(Struct, frozen=True):
-    """A pair of windows and the burn rate above which both make an alert."""
+    """A pair of windows and the burn rate that both must exceed for an alert."""
 
     name: str
     threshold: float
@@ -47,7 +47,7 @@
 
 
 class PriorityBurn(Struct, frozen=True):
-    """The calls of one priority in one window; shares are None without calls."""
+    """The calls of one priority in one window; without calls, shares are None."""
 
     counts: CallCounts
     availability_percent: float | None
@@ -58,8 +58,9 @@
 class WindowBurn(Struct, frozen=True):
     """One window over the fleet.
 
-    `covered_percent` says how much of the window the daemons have lived; what
-    is missing to 100 is the gap that restarts and silent daemons leave.
+    `covered_percent` is the share of the window for which the daemons have been
+    running. The remainder to 100 is the gap left by restarts and by daemons that did
+    not answer.
     """
 
     window_ms: int
@@ -69,7 +70,7 @@
 
 
 class Alert(Struct, frozen=True):
-    """One rule applied to one priority."""
+    """The result of one rule for one priority."""
 
     rule: AlertRule
     priority: str
@@ -79,7 +80,7 @@
 
 
 class ConvergenceBurn(Struct, frozen=True):
-    """The changes of the longest window against the objective."""
+    """The convergence of the changes in the longest window against its objective."""
 
     n_changes: int
     n_late: int
@@ -88,7 +89,7 @@
 
 
 class CustomerBurn(Struct, frozen=True):
-    """One customer's objectives and how they are met."""
+    """One customer's objectives and the extent to which they are met."""
 
     customer: str
     objectives: Objectives
@@ -100,7 +101,7 @@
 
 
 class DaemonCoverage(Struct, frozen=True):
-    """A daemon that the report covers, and for how long it has lived."""
+    """A daemon that the report covers, and the time since its start."""
 
     vm: str
     lived_ms: int
@@ -117,12 +118,12 @@
 def make_burn_report(
     daemons: Sequence[DaemonCounts], missing: Iterable[str] = ()
 ) -> BurnReport:
-    """Add up the counts of many daemons and judge them by the objectives."""
+    """Return the sums of the daemons' counts, evaluated against the objectives."""
     missing = tuple(sorted(missing))
-    lived = tuple(DaemonCoverage(daemon.vm, daemon.lived_ms) for daemon in daemons)
-    n_daemons = len(lived) + len(missing)
+    coverage = tuple(DaemonCoverage(daemon.vm, daemon.lived_ms) for daemon in daemons)
+    n_daemons = len(coverage) + len(missing)
     covered = {
-        window_ms: _covered_percent(lived, window_ms, n_daemons)
+        window_ms: _covered_percent(coverage, window_ms, n_daemons)
         for window_ms in WINDOWS_MS
     }
     names = {item.customer for daemon in daemons for item in daemon.customers}
@@ -130,7 +131,7 @@
         _customer_burn(name, list(_iter_counts(daemons, name)), covered)
         for name in sorted(names)
     )
-    return BurnReport(lived, missing, customers)
+    return BurnReport(coverage, missing, customers)
 
 
 def _iter_counts(
@@ -141,9 +142,9 @@
 
 
 def _covered_percent(
-    lived: Iterable[DaemonCoverage], window_ms: int, n_daemons: int
+    coverage: Iterable[DaemonCoverage], window_ms: int, n_daemons: int
 ) -> float:
-    covered_ms = sum(min(daemon.lived_ms, window_ms) for daemon in lived)
+    covered_ms = sum(min(daemon.lived_ms, window_ms) for daemon in coverage)
     return 100 * covered_ms / (window_ms * n_daemons)
 
 
@@ -176,12 +177,12 @@
     covered_percent: float,
     objectives: Objectives,
 ) -> WindowBurn:
-    found = [w for item in counts for w in item.windows if w.window_ms == window_ms]
+    matching = [w for item in counts for w in item.windows if w.window_ms == window_ms]
     return WindowBurn(
         window_ms,
         covered_percent,
-        _priority_burn(_total(found, lambda window: window.urgent), objectives),
-        _priority_burn(_total(found, lambda window: window.normal), objectives),
+        _priority_burn(_total(matching, lambda window: window.urgent), objectives),
+        _priority_burn(_total(matching, lambda window: window.normal), objectives),
     )
 
 
@@ -205,7 +206,7 @@
 
 
 def _budget_left_percent(longest: PriorityBurn) -> float:
-    """Return the budget left of the calls counted; negative where overspent."""
+    """Return the error budget left by the counted calls; negative if overspent."""
     return 100 * (1 - longest.burn_rate)
 
 
