--- a/tests/fake_network.py
+++ b/tests/fake_network.py
@@ -1,4 +1,4 @@
-"""An in-memory network that carries out the membership decisions."""
+"""An in-memory network that executes the membership decisions."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     vm: str
     zone: str
     membership: Membership
-    is_up: bool = True
+    is_running: bool = True
 
     @property
     def view(self) -> dict[str, int]:
@@ -46,7 +46,7 @@
         self.nodes: dict[str, Node] = {}
         self.streams: set[frozenset[str]] = set()
         self.queue: list[tuple[int, str, str, Any]] = []
-        self.cut_zones: frozenset[str] = frozenset()
+        self.partitioned_zones: frozenset[str] = frozenset()
         self.drop_probability = 0.0
         self.duplicate_probability = 0.0
         self.n_frames: dict[str, int] = {}
@@ -55,7 +55,7 @@
             self.start(f"vm-{index:03d}", zone)
 
     def start(self, vm: str, zone: str) -> None:
-        """Start a daemon, or start one again that was killed."""
+        """Start a daemon, or restart one that was killed."""
         self.close_streams(vm)
         incarnation = self.now_ms + 1
         sequence = 1_000_000 * incarnation
@@ -70,47 +70,47 @@
         self.nodes[vm] = Node(vm, zone, membership)
 
     def kill(self, vm: str) -> None:
-        """Stop a daemon without a word."""
-        self.nodes[vm].is_up = False
+        """Stop a daemon without a departure record."""
+        self.nodes[vm].is_running = False
         self.close_streams(vm)
 
     def close_streams(self, vm: str) -> None:
-        """Break every stream of a daemon."""
+        """Close every stream of a daemon."""
         for pair in [pair for pair in self.streams if vm in pair]:
             self.break_stream(pair)
 
     def break_stream(self, pair: frozenset[str]) -> None:
-        """Break one stream for both of its ends."""
+        """Close one stream at both ends."""
         self.streams.discard(pair)
         one, other = sorted(pair)
         ends = [(one, other), (other, one)]
         decided = [
             (vm, list(self.nodes[vm].membership.close(peer, self.now_ms)))
             for vm, peer in ends
-            if self.nodes[vm].is_up
+            if self.nodes[vm].is_running
         ]
         for vm, actions in decided:
-            self.act(vm, actions)
+            self.execute(vm, actions)
 
-    def touch(self, vm: str) -> None:
-        """Change a daemon's own record, as a target that comes or goes does."""
+    def update_own_record(self, vm: str) -> None:
+        """Change a daemon's own record, as when a target is added or removed."""
         membership = self.nodes[vm].membership
         own = membership.directory.own()
-        self.act(vm, membership.publish(replace(own, sequence=own.sequence + 1)))
+        self.execute(vm, membership.publish(replace(own, sequence=own.sequence + 1)))
 
     def run(self, duration_ms: int) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms += TICK_MS
             self._deliver()
             for node in list(self.nodes.values()):
-                if node.is_up:
-                    self.act(node.vm, node.membership.tick(self.now_ms))
+                if node.is_running:
+                    self.execute(node.vm, node.membership.tick(self.now_ms))
                     self._flush(node)
 
-    def act(self, vm: str, actions: Any) -> None:
-        """Carry out what a node's membership decided."""
+    def execute(self, vm: str, actions: Any) -> None:
+        """Execute the actions that a node's membership decided on."""
         for action in list(actions):
             if isinstance(action, Send):
                 self._send(vm, action.vm, action.frame)
@@ -120,32 +120,32 @@
                 self.break_stream(frozenset((vm, action.vm)))
 
     def is_reachable(self, one: str, other: str) -> bool:
-        """Return whether nothing cuts two daemons off each other."""
+        """Return whether no partition separates two daemons."""
         zones = {self.nodes[one].zone, self.nodes[other].zone}
-        return len(zones) == 1 or not zones & self.cut_zones
+        return len(zones) == 1 or not zones & self.partitioned_zones
 
-    def up(self) -> list[Node]:
-        """Return the nodes that run."""
-        return [node for node in self.nodes.values() if node.is_up]
+    def running(self) -> list[Node]:
+        """Return the running nodes."""
+        return [node for node in self.nodes.values() if node.is_running]
 
     def _flush(self, node: Node) -> None:
         while node.membership.is_flush_due:
-            self.act(node.vm, node.membership.flush(lambda vm: True, self.now_ms))
+            self.execute(node.vm, node.membership.flush(lambda vm: True, self.now_ms))
 
     def _dial(self, vm: str, address: str) -> None:
         other = self.nodes.get(address)
         membership = self.nodes[vm].membership
-        if other is None or not other.is_up or not self.is_reachable(vm, address):
-            is_refused = other is not None and not other.is_up
-            self.act(vm, membership.fail(address, is_refused, self.now_ms))
+        if other is None or not other.is_running or not self.is_reachable(vm, address):
+            is_refused = other is not None and not other.is_running
+            self.execute(vm, membership.fail(address, is_refused, self.now_ms))
             return
         pair = frozenset((vm, address))
         if pair in self.streams:
             membership.settle(address)
             return
         self.streams.add(pair)
-        self.act(vm, membership.open(address, address, True, self.now_ms))
-        self.act(address, other.membership.open(vm, vm, False, self.now_ms))
+        self.execute(vm, membership.open(address, address, True, self.now_ms))
+        self.execute(address, other.membership.open(vm, vm, False, self.now_ms))
 
     def _send(self, sender: str, receiver: str, frame: Any) -> None:
         name = type(frame).__name__
@@ -165,7 +165,7 @@
             is_open = frozenset((sender, receiver)) in self.streams
             if is_open and self.is_reachable(sender, receiver):
                 membership = self.nodes[receiver].membership
-                self.act(receiver, membership.receive(sender, frame, self.now_ms))
+                self.execute(receiver, membership.receive(sender, frame, self.now_ms))
 
 
 __all__ = ["FakeNetwork", "Node"]
--- a/tests/naive/full_mesh.py
+++ b/tests/naive/full_mesh.py
@@ -1,4 +1,4 @@
-"""Membership in its naive form: everybody sends everybody all that it knows."""
+"""Naive membership: every member sends its whole view to every other member."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class NaiveMember:
-    """Keeps the highest record of each VM that it has ever been sent."""
+    """Keeps the highest record of each VM that it has received."""
 
     def __init__(self, own: Member) -> None:
         self.vm = own.vm
         self.view = {own.vm: own}
 
     def publish(self, member: Member) -> None:
-        """Replace the own record."""
+        """Replace the member's own record."""
         self.view[self.vm] = member
 
     def merge(self, view: dict[str, Member]) -> None:
-        """Take what another one knows."""
+        """Merge the view of another member."""
         for vm, member in view.items():
             known = self.view.get(vm)
             if known is None or known.sequence < member.sequence:
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Burn: counts in bounded memory, and the report over many daemons."""
+"""Burn counts in bounded memory, and the report over many daemons."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 def outcome(
     error: ErrorKind | None = None, priority: str = "urgent", customer: str = "lantern"
 ) -> CallOutcome:
-    """Return a call that ended with an error or, without one, well."""
+    """Return a call that ended with an error, or successfully without one."""
     return CallOutcome(customer, "award", priority, 200, error, Run.YES, 2.0, 0)
 
 
 def report_of(counts: BurnCounts, now_ms: int, missing: tuple[str, ...] = ()):
-    """Return the report over one daemon, through the form that HTTP carries."""
+    """Return the report over one daemon, after a round trip through JSON."""
     table = json.loads(json.dumps(counts_to_table(counts.snapshot("vm-1", now_ms, {}))))
     return make_burn_report([read_counts(table).unwrap()], missing)
 
@@ -51,15 +51,15 @@
         (ErrorKind.CANCELLED, None),
     ],
 )
-def test_classes_of_outcomes(error, expected):
+def test_outcome_classes(error, expected):
     assert classify_outcome(outcome(error)) is expected
 
 
-def test_windows_count_as_a_list_of_all_calls_does():
-    """Rings that are cleared too late or too early miscount old calls.
+def test_windows_match_a_naive_count_of_all_calls():
+    """Guards against ring buckets that are cleared too late or too early.
 
-    It would come about after quiet hours, and users would see an alert for
-    errors that are long over, or none for those of now.
+    That would happen after hours without calls. Users would see an alert for errors
+    that ended long ago, or none for current ones.
     """
     rng = random.Random(3)
     counts = BurnCounts(START_MS)
@@ -74,7 +74,7 @@
 
 
 def assert_same_windows(counts: BurnCounts, calls: list[int], now_ms: int) -> None:
-    """Compare each window with a naive count over every call ever made."""
+    """Compare each window with a naive count over all calls."""
     windows = counts.snapshot("vm-1", now_ms, {}).customers[0].windows
     for window in windows:
         is_short = window.window_ms <= HOUR_MS
@@ -84,8 +84,8 @@
         assert window.urgent.n_good == expected, window.window_ms
 
 
-def test_memory_is_bounded_however_many_customers_call():
-    """Documents for ever new customers must not make a daemon grow."""
+def test_memory_is_bounded_for_any_number_of_customers():
+    """Guards against unbounded memory from documents for more and more customers."""
     counts = BurnCounts(START_MS)
     for index in range(3 * N_CUSTOMERS_MAX):
         counts.add(outcome(customer=f"customer-{index}"), START_MS)
@@ -99,7 +99,7 @@
 
 
 def n_bytes_of(value: object) -> int:
-    """Return the bytes of an object and all that it holds."""
+    """Return the size in bytes of an object and everything it contains."""
     parts = list(vars(value).values()) if hasattr(value, "__dict__") else []
     if isinstance(value, dict):
         parts += list(value.values())
@@ -108,7 +108,7 @@
     return sys.getsizeof(value) + sum(map(n_bytes_of, parts))
 
 
-def test_fast_burn_fires_and_falls_silent_after_the_errors_stop():
+def test_fast_burn_alert_fires_and_clears_after_the_errors_stop():
     counts = BurnCounts(START_MS)
     now_ms = START_MS + 2 * HOUR_MS
     for index in range(1000):
@@ -125,7 +125,7 @@
 
 
 def test_budget_and_rates_of_a_known_case():
-    """One call in a thousand may miss; two did, so the budget is overspent."""
+    """One call in 1000 may miss the objective; two do, which overspends the budget."""
     counts = BurnCounts(START_MS)
     for index in range(1000):
         kind = {0: ErrorKind.TIMEOUT, 1: ErrorKind.NO_TARGET}.get(index)
@@ -141,11 +141,11 @@
     assert burn.urgent_budget_left_percent == 100.0
 
 
-def test_restarted_and_silent_daemons_are_a_gap_in_what_is_covered():
-    """A restarted daemon has forgotten its calls, and a silent one tells none.
+def test_restarted_and_silent_daemons_reduce_the_coverage():
+    """A restarted daemon has lost its counts, and a silent one returns none.
 
-    A report that hid this would show a full budget right after the errors that
-    made the daemons restart.
+    A report that hid this would show a full budget right after the errors that made
+    the daemons restart.
     """
     counts = BurnCounts(START_MS)
     counts.add(outcome(), START_MS)
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -1,4 +1,4 @@
-"""Requests that reach a daemon in its first moments."""
+"""Requests that reach a daemon during its start."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 def test_request_waits_for_the_first_target_of_a_starting_daemon():
-    """All daemons were killed and come back, and a caller is there before the targets.
+    """All daemons restart, and a caller connects before the targets are known.
 
-    Refused, it would be told to come back in a second, and so would every caller of
-    the fleet, though the targets are known a few hundred milliseconds later.
+    If the daemon refused the request, the caller would have to retry after a second,
+    as would every caller of the fleet, although the targets are known a few hundred
+    milliseconds later.
     """
 
     async def run() -> tuple[int, str]:
@@ -31,11 +32,11 @@
     assert asyncio.run(run()) == (200, "yes")
 
 
-def test_requests_sent_ahead_run_alone_while_their_routes_are_not_known():
-    """A daemon has just started and knows no route, and two bookings come in one go.
+def test_pipelined_requests_run_one_at_a_time_while_routes_are_unknown():
+    """A daemon has just started without routes and receives two pipelined bookings.
 
-    Taken for harmless and begun side by side, the second could be lost with an answer
-    that closes the connection, be sent again, and run twice.
+    If it treated them as idempotent and ran them concurrently, the second could be lost
+    with a response that closes the connection, be retried, and run twice.
     """
 
     async def run() -> list[int]:
@@ -61,7 +62,7 @@
     assert asyncio.run(run()) == [1, 1]
 
 
-def test_request_that_no_target_comes_for_is_refused_in_good_time():
+def test_request_without_a_target_is_refused_before_its_timeout():
     async def run(is_joining: bool) -> tuple[tuple[int, str], float]:
         async with Mesh() as mesh:
             mesh.is_joining = is_joining
@@ -77,10 +78,11 @@
     assert refused == (503, "no")
 
 
-def test_connection_made_before_the_server_is_there_is_served():
-    """A caller connects while the daemon still imports its libraries.
+def test_connection_made_before_the_server_starts_is_served():
+    """A caller connects while the daemon is still importing its libraries.
 
-    The system would turn it away, and it has few retries.
+    Without a listening socket the kernel would refuse the connection, and the caller
+    has few retries.
     """
 
     async def run() -> bytes:
@@ -100,8 +102,8 @@
     assert asyncio.run(run()).startswith(b"HTTP/1.1 200")
 
 
-def test_settings_that_cannot_be_used_open_no_socket():
-    """What is wrong is reported by the start itself, with its place in the file."""
+def test_unusable_settings_open_no_socket():
+    """The regular start reports the error, with its position in the file."""
     for text in (
         "",
         "no toml [",
--- a/tests/test_member_rows.py
+++ b/tests/test_member_rows.py
@@ -16,7 +16,7 @@
 
 
 class FakePlatform:
-    """Rows in memory."""
+    """Holds rows in memory."""
 
     def __init__(self, *rows: Row) -> None:
         self.rows = {row.key: row for row in rows}
@@ -40,7 +40,7 @@
 
 
 class FakeControl:
-    """Takes the discovered addresses."""
+    """Records the discovered addresses."""
 
     neighbours = ()
 
@@ -48,12 +48,12 @@
         self.addresses: set[str] = set()
 
     def discover(self, addresses) -> None:
-        """Keep the addresses."""
+        """Record the addresses."""
         self.addresses |= set(addresses)
 
 
-def test_daemon_finds_others_by_their_rows_and_removes_its_own(monkeypatch):
-    """The seeds of the settings were all replaced, and only the rows are left."""
+def test_daemon_discovers_others_by_rows_and_removes_its_own(monkeypatch):
+    """All seeds in the settings have been replaced; only the rows have addresses."""
     monkeypatch.setattr(member_rows, "_JOIN_MAX_S", 0.0)
     value = json.dumps({"peer_address": "127.0.0.1:9", "written_ms": 1})
     platform = FakePlatform(Row("member/b", value), Row("member/c", "not JSON"))
@@ -80,15 +80,15 @@
     return Row(f"member/{vm}", json.dumps(value))
 
 
-def calls_of_a_start(platform, neighbours, **more) -> list[str]:
-    """Return the calls that a daemon makes in its first moments."""
+def calls_during_start(platform, neighbours, **options) -> list[str]:
+    """Return the calls that a daemon makes to the platform during its start."""
     own = Member("a", 1, 0, MemberState.ALIVE, "pos-a", "127.0.0.1:1", ())
     control = FakeControl()
     control.neighbours = neighbours
 
     async def scenario() -> None:
         rng = random.Random(0)
-        rows = MemberRows(platform, control, MemberDirectory(own), rng, 0.0, **more)
+        rows = MemberRows(platform, control, MemberDirectory(own), rng, 0.0, **options)
         rows.start()
         await asyncio.sleep(0.05)
         rows.close()
@@ -97,18 +97,18 @@
     return platform.calls
 
 
-def test_restarted_daemon_with_neighbours_reads_once_and_writes_nothing():
-    """Guards against calls to the store that a fleet's restart makes for nothing."""
+def test_restarted_daemon_with_neighbours_reads_once_and_does_not_write():
+    """Guards against unnecessary platform calls when a whole fleet restarts."""
     platform = FakePlatform(member_row("a", "127.0.0.1:1"))
-    assert calls_of_a_start(platform, ("b",)) == ["read"]
+    assert calls_during_start(platform, ("b",)) == ["read"]
 
 
 def test_daemon_whose_address_changed_writes_its_row():
     platform = FakePlatform(member_row("a", "127.0.0.1:7"))
-    assert calls_of_a_start(platform, ("b",)) == ["read", "write"]
+    assert calls_during_start(platform, ("b",)) == ["read", "write"]
 
 
-def test_first_start_writes_before_it_looks_for_others():
-    """Guards against reads of a table in which nobody can have written yet."""
-    calls = calls_of_a_start(FakePlatform(), (), is_first_start=True)
+def test_first_start_writes_before_it_reads():
+    """Guards against reading a table that no daemon can have written yet."""
+    calls = calls_during_start(FakePlatform(), (), is_first_start=True)
     assert calls[:2] == ["write", "read"]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Decisions about members."""
+"""Membership decisions."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 
 
 def member(vm: str, zone: str = "pos-a", sequence: int = 0) -> Member:
-    """Return a living member."""
+    """Return a member that is alive."""
     return Member(vm, 1, sequence, MemberState.ALIVE, zone, f"{vm}:1", ())
 
 
 def membership_of(own: Member, *others: Member) -> Membership:
-    """Return the membership of a daemon that knows some others already."""
+    """Return the membership of a daemon that already knows some other members."""
     directory = MemberDirectory(own)
-    made = Membership(
+    membership = Membership(
         directory, MembersSettings(), PeersSettings(""), random.Random(0), 0
     )
-    list(made.receive("x", MemberUpdate(others), 0))
-    return made
+    list(membership.receive("x", MemberUpdate(others), 0))
+    return membership
 
 
 def fleet(n_members: int) -> list[Member]:
@@ -65,34 +65,34 @@
         assert all(vm in edges[neighbour] for neighbour in neighbours)
 
 
-def test_a_member_that_goes_changes_few_edges():
+def test_leaving_member_changes_few_edges():
     before = edges_of(fleet(60))
     after = edges_of(fleet(60)[1:])
     changed = [vm for vm in after if after[vm] != before[vm]]
     assert len(changed) <= 4
 
 
-def test_gone_members_are_no_neighbours():
+def test_gone_members_are_not_chosen_as_neighbours():
     members = fleet(8)
     gone = [replace(m, state=MemberState.GONE) for m in members[1:]]
     assert choose_neighbours(members[0], gone, 2, 2) == frozenset()
 
 
-def test_doubt_about_oneself_is_refuted():
-    """A daemon was slow for a moment and hears that others take it for gone.
+def test_claim_about_the_daemon_itself_is_refuted():
+    """A daemon was slow for a moment and receives the claim that it is gone.
 
-    Left standing, the word would take its targets out of use for good.
+    Without a refutation its targets would stay out of use permanently.
     """
     own = member("a")
     membership = membership_of(own, member("b"))
-    doubt = MemberUpdate((with_state(own, MemberState.GONE),))
-    list(membership.receive("b", doubt, 10))
-    assert membership.directory.own().rank > doubt.members[0].rank
+    claim = MemberUpdate((with_state(own, MemberState.GONE),))
+    list(membership.receive("b", claim, 10))
+    assert membership.directory.own().rank > claim.members[0].rank
     assert membership.directory.own().state is MemberState.ALIVE
 
 
 def test_silent_neighbour_is_suspected_then_gone():
-    """A VM freezes: its connections stay open but nothing comes any more."""
+    """A VM freezes: its connections stay open but no more frames arrive."""
     membership = membership_of(member("a"), member("b"))
     list(membership.flush(lambda vm: True, 0))
     list(membership.open("b", "b:1", True, 0))
@@ -104,18 +104,18 @@
     assert membership.directory.get("b").state is MemberState.GONE
 
 
-def test_refused_dial_raises_suspicion_at_once():
-    """The process of a neighbour dies and its VM refuses connections."""
+def test_refused_dial_raises_suspicion_immediately():
+    """The process of a neighbour terminates and its VM refuses connections."""
     membership = membership_of(member("a"), member("b"))
     assert Dial("b:1") in list(membership.flush(lambda vm: True, 0))
     list(membership.fail("b:1", True, 5))
     assert membership.directory.get("b").state is MemberState.SUSPECT
 
 
-def test_daemon_that_was_paused_accuses_nobody():
-    """A frozen VM wakes: it has heard nobody, but the fault was its own.
+def test_paused_daemon_suspects_no_neighbours():
+    """A frozen VM resumes: it has received nothing, but only because it was frozen.
 
-    Accusing its neighbours would make all of them refute, for nothing.
+    Suspecting its neighbours would make all of them refute without need.
     """
     membership = membership_of(member("a"), member("b"))
     list(membership.flush(lambda vm: True, 0))
@@ -126,16 +126,16 @@
     assert membership.directory.own().incarnation == 2
 
 
-def test_pause_is_noticed_once():
+def test_pause_is_detected_once():
     detector = PauseDetector(3000, 0)
     assert [detector.check(now) for now in (3000, 6001, 6002)] == [0, 3001, 0]
 
 
-def test_forgotten_members_do_not_come_back():
-    """Daemons forget a long-gone VM at different times.
+def test_removed_members_are_not_added_again():
+    """Daemons remove the record of a gone VM at different times.
 
-    If one taught it to another again, the fleet would carry every VM that ever
-    was.
+    If one daemon sent it to another again, the fleet would keep the record of every
+    VM that ever existed.
     """
     directory = MemberDirectory(member("a"))
     gone = replace(member("b"), state=MemberState.GONE)
@@ -155,29 +155,29 @@
     assert outbox.is_empty
 
 
-def test_other_zones_hear_of_changes_by_rank_and_ask_for_what_they_lack():
-    """Guards against records that cross zones once for each pair of neighbours."""
+def test_other_zones_receive_ranks_and_pull_missing_records():
+    """Guards against sending a record across zones once per pair of neighbours."""
     outbox = MemberOutbox(is_in_other_zone=lambda vm: vm == "far")
     for neighbour in ("near", "far"):
         outbox.open(neighbour)
     outbox.add(member("x"), sender="b")
-    (whole,) = outbox.flush(lambda vm: True)
-    assert (whole.vm, whole.frame) == ("near", MemberUpdate((member("x"),)))
-    (told,) = outbox.flush_ranks()
-    assert (told.vm, told.frame.ranks) == ("far", (rank_of(member("x")),))
+    (update,) = outbox.flush(lambda vm: True)
+    assert (update.vm, update.frame) == ("near", MemberUpdate((member("x"),)))
+    (ranks,) = outbox.flush_ranks()
+    assert (ranks.vm, ranks.frame.ranks) == ("far", (rank_of(member("x")),))
     assert list(outbox.flush_ranks()) == []
     receiver = membership_of(member("far", "pos-b"))
-    (asked,) = receiver.receive("a", told.frame, 0)
-    assert asked == Send("a", MembersPull(("x",)))
+    (pull,) = receiver.receive("a", ranks.frame, 0)
+    assert pull == Send("a", MembersPull(("x",)))
     sender = membership_of(member("a"), member("x"), member("far", "pos-b"))
     list(sender.open("far", "far:1", False, 0))
-    list(sender.receive("far", asked.frame, 0))
+    list(sender.receive("far", pull.frame, 0))
     actions = sender.flush(lambda vm: True, 0)
     sent = [action.frame for action in actions if isinstance(action, Send)]
     assert any(member("x") in frame.members for frame in sent)
 
 
-def test_rank_of_what_a_neighbour_has_is_not_told_to_it():
+def test_rank_of_a_record_that_a_neighbour_holds_is_not_sent():
     outbox = MemberOutbox(is_in_other_zone=lambda vm: True)
     outbox.open("far")
     outbox.add(member("x", sequence=2), sender="b")
@@ -188,20 +188,20 @@
     assert list(outbox.flush_ranks()) == []
 
 
-def test_change_of_a_target_leaves_the_neighbours_as_they_are():
-    """Guards against a choice of neighbours for each announcement of the fleet."""
+def test_target_change_does_not_trigger_neighbour_choice():
+    """Guards against recomputing the neighbours for each announcement in the fleet."""
     own, other = member("a"), member("b")
-    made = membership_of(own, other)
-    list(made.flush(lambda vm: True, 0))
-    assert not made.is_flush_due
-    list(made.receive("x", MemberUpdate((replace(other, sequence=1),)), 0))
-    assert not made.is_flush_due
-    list(made.receive("x", MemberUpdate((replace(other, incarnation=2),)), 0))
-    assert made.is_flush_due
+    membership = membership_of(own, other)
+    list(membership.flush(lambda vm: True, 0))
+    assert not membership.is_flush_due
+    list(membership.receive("x", MemberUpdate((replace(other, sequence=1),)), 0))
+    assert not membership.is_flush_due
+    list(membership.receive("x", MemberUpdate((replace(other, incarnation=2),)), 0))
+    assert membership.is_flush_due
 
 
-def test_own_change_goes_whole_to_every_zone():
-    """Guards against targets that other zones hear of a round later than needed."""
+def test_own_record_is_sent_in_full_to_every_zone():
+    """Guards against targets that reach other zones one round later than necessary."""
     outbox = MemberOutbox(is_in_other_zone=lambda vm: True)
     outbox.open("far")
     outbox.add(member("own"))
@@ -209,8 +209,8 @@
     assert sent.frame == MemberUpdate((member("own"),))
 
 
-def test_a_herd_that_joins_is_served_in_bounded_rounds():
-    """Forty daemons come back at once and each asks for every record."""
+def test_mass_join_is_served_in_bounded_rounds():
+    """Forty daemons rejoin at once and each requests every record."""
     outbox = MemberOutbox()
     records = fleet(600)
     for index in range(40):
@@ -224,8 +224,8 @@
     )
 
 
-def test_records_of_many_targets_fit_their_frames():
-    """VMs that run many targets join; their records go in frames below the cap."""
+def test_records_with_many_targets_fit_into_frames():
+    """VMs with many targets join; their records must fit the frame size limit."""
     outbox = MemberOutbox()
     outbox.open("b")
     labels = tuple((f"label-{index}", "value" * 8) for index in range(8))
@@ -249,14 +249,14 @@
     assert sent.frame == MemberUpdate((member("x", sequence=999),))
 
 
-def test_backoff_is_spread_and_bounded():
+def test_backoff_is_jittered_and_bounded():
     backoff = DialBackoff(random.Random(1))
     for _ in range(100):
         backoff.fail("a:1", 0)
     assert backoff.is_due("a:1", BACKOFF_MAX_MS)
 
 
-def test_one_daemon_a_zone_sweeps_the_rows():
+def test_one_daemon_per_zone_sweeps_the_rows():
     members = fleet(40)
     sweepers = [m for m in members if is_sweeper(m, members)]
     assert sorted(m.availability_zone for m in sweepers) == [
@@ -264,9 +264,9 @@
     ]
 
 
-def test_rows_that_nobody_writes_are_deleted():
+def test_stale_rows_are_deleted():
     directory = MemberDirectory(member("a"))
     sweep = RowSweep()
     rows = [MemberRow("a", "a:1", 0), MemberRow("b", "b:1", 0)]
-    dead = [list(sweep.iter_dead(directory, rows)) for _ in range(10)]
-    assert dead == [[]] * 9 + [["b"]]
+    stale = [list(sweep.iter_dead(directory, rows)) for _ in range(10)]
+    assert stale == [[]] * 9 + [["b"]]
--- a/tests/test_membership_differential.py
+++ b/tests/test_membership_differential.py
@@ -1,4 +1,4 @@
-"""Membership against its naive full mesh, under faults."""
+"""Differential test of the membership against a naive full mesh, under faults."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 
 
 def apply_fault(network: FakeNetwork, kind: str, index: int) -> None:
-    """Bring about one fault in the fake fleet."""
+    """Inject one fault into the fake fleet."""
     node = list(network.nodes.values())[index % len(network.nodes)]
-    if kind == "kill" and len(network.up()) > 2:
+    if kind == "kill" and len(network.running()) > 2:
         network.kill(node.vm)
     elif kind == "restart":
         network.kill(node.vm)
         network.start(node.vm, node.zone)
-    elif kind == "touch" and node.is_up:
-        network.touch(node.vm)
+    elif kind == "touch" and node.is_running:
+        network.update_own_record(node.vm)
     elif kind == "cut":
-        network.cut_zones = frozenset((node.zone,))
+        network.partitioned_zones = frozenset((node.zone,))
     elif kind == "heal":
-        network.cut_zones = frozenset()
+        network.partitioned_zones = frozenset()
     elif kind == "break":
         network.close_streams(node.vm)
-    elif kind == "pause" and node.is_up:
-        network.act(node.vm, node.membership.resume(network.now_ms))
+    elif kind == "pause" and node.is_running:
+        network.execute(node.vm, node.membership.resume(network.now_ms))
 
 
 def naive_view(network: FakeNetwork) -> dict[str, int]:
-    """Return what the naive full mesh of the running daemons ends with."""
-    owns = [node.membership.directory.own() for node in network.up()]
+    """Return the final view of a naive full mesh of the running daemons."""
+    owns = [node.membership.directory.own() for node in network.running()]
     members = [NaiveMember(replace(own)) for own in owns]
     exchange_all(members)
     views = [{vm: m.sequence for vm, m in member.view.items()} for member in members]
@@ -59,11 +59,13 @@
     drop=st.sampled_from([0.0, 0.1, 0.3]),
     duplicate=st.sampled_from([0.0, 0.3]),
 )
-def test_views_end_like_those_of_the_full_mesh(seed, n_nodes, faults, drop, duplicate):
-    """Records are lost, doubled and overtaken while daemons die and zones part.
+def test_views_converge_to_those_of_the_full_mesh(
+    seed, n_nodes, faults, drop, duplicate
+):
+    """Frames are lost, duplicated and reordered while daemons and zone links fail.
 
     A daemon whose view stays wrong sends calls to a VM that is gone, or none to
-    one that came back.
+    one that has rejoined.
     """
     zones = [ZONES[index % len(ZONES)] for index in range(n_nodes)]
     network = FakeNetwork(seed, zones, ("vm-000", "vm-001"))
@@ -72,51 +74,55 @@
     for kind, index, n_ticks in faults:
         apply_fault(network, kind, index)
         network.run(n_ticks * 250)
-    network.cut_zones = frozenset()
+    network.partitioned_zones = frozenset()
     network.drop_probability = 0.0
     network.run(60_000)
     expected = naive_view(network)
-    assert [node.view for node in network.up()] == [expected] * len(network.up())
+    assert [node.view for node in network.running()] == [expected] * len(
+        network.running()
+    )
 
 
-def test_herd_death_leaves_one_connected_fleet():
-    """Half of the VMs are replaced at once, the seeds among them.
+def test_mass_failure_leaves_one_connected_fleet():
+    """Half of the VMs, including the seeds, are replaced at once.
 
-    Where the survivors fell into groups, a change made in one would never reach
-    the proxies of another.
+    If the remaining daemons were split into groups, a change made in one group would
+    never reach the proxies of another.
     """
     network = FakeNetwork(3, [ZONES[index % 3] for index in range(40)], ("vm-000",))
     network.run(15_000)
     for index in range(20):
         network.kill(f"vm-{index:03d}")
     network.run(20_000)
-    survivors = {node.vm for node in network.up()}
-    assert {frozenset(node.view) for node in network.up()} == {frozenset(survivors)}
+    survivors = {node.vm for node in network.running()}
+    assert {frozenset(node.view) for node in network.running()} == {
+        frozenset(survivors)
+    }
     for index in range(20):
         network.start(f"vm-{index:03d}", ZONES[index % 3])
     network.run(30_000)
-    assert {len(node.view) for node in network.up()} == {40}
+    assert {len(node.view) for node in network.running()} == {40}
 
 
-def test_zone_that_was_cut_off_returns():
-    """The switch of a zone fails for a minute and both sides take the other for gone.
+def test_partitioned_zone_rejoins():
+    """The switch of a zone fails for a minute and each side considers the other gone.
 
-    Without dialling beyond the known fleet nobody would ever dial across again,
-    and each side would keep its own configuration for good.
+    Without dials to addresses outside the known fleet, no daemon would dial the other
+    side again, and each side would keep its own configuration permanently.
     """
     network = FakeNetwork(5, [ZONES[index % 3] for index in range(15)], ("vm-000",))
     network.run(10_000)
-    network.cut_zones = frozenset(("pos-b",))
+    network.partitioned_zones = frozenset(("pos-b",))
     network.run(60_000)
-    inside = {node.vm for node in network.up() if node.zone == "pos-b"}
+    inside = {node.vm for node in network.running() if node.zone == "pos-b"}
     assert all(set(network.nodes[vm].view) == inside for vm in inside)
-    network.cut_zones = frozenset()
+    network.partitioned_zones = frozenset()
     network.run(20_000)
-    assert {len(node.view) for node in network.up()} == {15}
+    assert {len(node.view) for node in network.running()} == {15}
 
 
-def frames_at_rest(n_nodes: int) -> float:
-    """Return the frames that each daemon sends a second when nothing happens."""
+def frames_per_second_when_idle(n_nodes: int) -> float:
+    """Return the frames that an idle daemon sends per second."""
     zones = [ZONES[index % len(ZONES)] for index in range(n_nodes)]
     network = FakeNetwork(1, zones, ("vm-000",))
     network.run(20_000)
@@ -127,33 +133,33 @@
 
 
 @pytest.mark.parametrize("n_nodes", [12, 48])
-def test_frames_at_rest_do_not_grow_with_the_fleet(n_nodes):
-    """Each daemon beats to at most four neighbours and repairs now and then."""
-    assert frames_at_rest(n_nodes) <= 4.2
+def test_idle_frame_rate_is_independent_of_fleet_size(n_nodes):
+    """A daemon sends heartbeats to at most four neighbours and occasional digests."""
+    assert frames_per_second_when_idle(n_nodes) <= 4.2
 
 
-def test_lost_update_is_repaired_on_streams_that_stay_open():
+def test_lost_update_is_repaired_on_an_open_stream():
     """A record is lost between two neighbours, and their stream stays open.
 
-    Nothing else would ever tell of it: calls would go on to a target that has
-    left.
+    Without a repair the loss would stay undetected, and calls would still be sent to
+    a target that has left.
     """
     network = FakeNetwork(7, ["pos-a", "pos-b"], ("vm-000",))
     network.run(5_000)
     network.drop_probability = 1.0
-    network.touch("vm-000")
+    network.update_own_record("vm-000")
     network.run(500)
     network.drop_probability = 0.0
     network.run(20_000)
     assert network.nodes["vm-001"].view == network.nodes["vm-000"].view
 
 
-def test_daemon_joins_past_seeds_that_are_gone():
-    """Most of the seeds were replaced since the settings were written.
+def test_daemon_joins_despite_unreachable_seeds():
+    """Most of the seeds have been replaced since the settings were written.
 
-    A daemon that tried one of them at a time would serve seconds later.
+    A daemon that dialled them one at a time would start to serve seconds later.
     """
     seeds = ("gone-1", "gone-2", "gone-3", "vm-000")
     network = FakeNetwork(8, ["pos-a", "pos-b"], seeds)
     network.run(1_000)
-    assert [len(node.view) for node in network.up()] == [2, 2]
+    assert [len(node.view) for node in network.running()] == [2, 2]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -31,7 +31,7 @@
 ]
 
 
-def test_frames_survive_any_split():
+def test_frames_are_decoded_from_any_split():
     data = b"".join(encode_frame(frame) for frame in FRAMES)
     for size in (1, 7, len(data)):
         decoder = FrameDecoder(4096)
@@ -39,8 +39,8 @@
         assert [frame for chunk in chunks for frame in decoder.feed(chunk)] == FRAMES
 
 
-def test_frames_have_the_form_that_older_daemons_read():
-    """Guards against a rolling upgrade in which daemons lose their streams."""
+def test_frame_encoding_is_compatible_with_older_daemons():
+    """Guards against lost streams between daemons during a rolling upgrade."""
     arrays = [msgpack.unpackb(encode_frame(frame)) for frame in FRAMES]
     target = ["ledger-1", "127.0.0.1:1", [["app", "ledger"]], 12, 130, "serving"]
     member = ["a", 1, 2, 0, "z", "127.0.0.1:2", [], [target], "", 0.0]
@@ -73,23 +73,23 @@
         [20, ["ab"]],
     ],
 )
-def test_malformed_frame_is_refused(array):
+def test_malformed_frame_is_rejected(array):
     with pytest.raises(FrameError):
         list(FrameDecoder(4096).feed(msgpack.packb(array)))
 
 
-def test_frame_of_exactly_the_cap_is_taken():
+def test_frame_of_exactly_the_size_limit_is_accepted():
     frame = BodyPart(1, bytes(4090))
     assert len(encode_frame(frame)) == 4096
     assert list(FrameDecoder(4096).feed(encode_frame(frame))) == [frame]
 
 
 @pytest.mark.parametrize("n_bytes", [4091, 100_000])
-def test_frame_over_the_cap_is_refused(n_bytes):
-    """A peer of another version, or a stranger, sends one huge frame.
+def test_frame_over_the_size_limit_is_rejected(n_bytes):
+    """A peer of another version, or an unknown client, sends one huge frame.
 
-    Taking it would let the daemon's memory grow without bound; the cap ends the
-    stream after at most one frame's worth of bytes.
+    Accepting it would let the daemon's memory grow without bound. The size limit ends
+    the stream after at most the bytes of one frame.
     """
     data = encode_frame(BodyPart(1, bytes(n_bytes)))
     decoder = FrameDecoder(4096)
@@ -98,10 +98,10 @@
             list(decoder.feed(data[start : start + 1000]))
 
 
-def test_frame_without_its_newest_fields_is_taken():
-    """Guards against an upgrade in which older daemons' frames end their streams."""
-    answer_of_older_daemon = msgpack.packb([44, 1, 200, []])
-    assert list(FrameDecoder(4096).feed(answer_of_older_daemon)) == [
+def test_frame_without_its_newest_fields_is_accepted():
+    """Guards against closing the streams of older daemons during an upgrade."""
+    response_of_older_daemon = msgpack.packb([44, 1, 200, []])
+    assert list(FrameDecoder(4096).feed(response_of_older_daemon)) == [
         AnswerHead(1, 200, (), 0, 0)
     ]
     with pytest.raises(FrameError):
