--- a/packages/pepperstair-core/pepperstair_core/membership/outbox.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/outbox.py
@@ -40,7 +40,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Return whether no records are queued."""
+        """Return whether no full records are queued; ranks are not considered."""
         return not any(self._pending.values())
 
     def open(self, neighbour: str) -> None:
@@ -101,7 +101,9 @@
             pending = self._pending[neighbour]
             if not pending or n_remaining <= 0 or not is_writable(neighbour):
                 continue
-            batch = list(_iter_round(pending, min(UPDATE_MAX_RECORDS, n_remaining)))
+            batch = list(
+                _iter_update_vms(pending, min(UPDATE_MAX_RECORDS, n_remaining))
+            )
             n_remaining -= len(batch)
             # Moves this neighbour last, so that the next round starts with others.
             del self._pending[neighbour]
@@ -109,7 +111,7 @@
             yield Send(neighbour, MemberUpdate(tuple(pending.pop(vm) for vm in batch)))
 
 
-def _iter_round(pending: dict[str, Member], n_records_max: int) -> Iterator[str]:
+def _iter_update_vms(pending: dict[str, Member], n_records_max: int) -> Iterator[str]:
     """Yield the members whose records fit into one update.
 
     Records of VMs with many targets could together exceed the frame size limit.
--- a/packages/pepperstair-core/pepperstair_core/membership/rows.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/rows.py
@@ -38,7 +38,8 @@
     ) -> Iterator[str]:
         """Yield the VMs whose rows are no longer written and may be deleted.
 
-        That is after 10 unchanged reads, unless the member is still usable.
+        That is after `N_SWEEPS_UNTIL_DELETED` unchanged reads, unless the member is
+        still usable.
         """
         counts = {row: self._n_unchanged.get(row, 0) + 1 for row in rows}
         self._n_unchanged = counts
--- a/packages/pepperstair-core/pepperstair_core/wire/control.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/control.py
@@ -85,7 +85,7 @@
 
 
 class SnapshotPart(Frame, tag=13):
-    """Carries a part of a full snapshot, which would block the stream in one piece."""
+    """Carries a part of a full snapshot; in one piece it would block the stream."""
 
     head: Head
     index: int
@@ -119,12 +119,12 @@
 class HeadsDigest(Frame, tag=17):
     """Compares the versions that both sides hold, to repair missed updates.
 
-    A request carries only the digest. If the digests differ, the receiver answers
-    with its `versions`, and each side then pulls what it lacks. A request with an
-    empty digest is always answered. `has_known_floor` is set if the sender remembers
-    which versions it held, unlike a daemon that has just started. An answer repeats
-    the `number` of its request, so that an answer which was buffered while the
-    requesting process was paused is recognised as stale.
+    A request carries the digest without `versions`. If the digests differ, the
+    receiver answers with its versions, and each side then pulls what it lacks. A
+    request with an empty digest is always answered. `has_known_floor` is set if the
+    sender remembers which versions it held, unlike a daemon that has just started. An
+    answer repeats the `number` of its request, so that an answer which was buffered
+    while the requesting process was paused is recognised as stale.
     """
 
     digest: bytes
@@ -177,6 +177,7 @@
 class MemberRanks(Frame, tag=22):
     """Lists the records that the sender holds in the differing buckets.
 
+    Without `buckets` it lists changed records, for a receiver in another zone.
     The receiver sends the records of which it holds a newer one, and requests those
     of which it holds an older one or none.
     """
