--- a/packages/pepperstair-callers/pepperstair_callers/__init__.py
+++ b/packages/pepperstair-callers/pepperstair_callers/__init__.py
@@ -1,4 +1,4 @@
-"""The proxy that callers speak to."""
+"""The HTTP proxy through which callers send their requests."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-callers/pepperstair_callers/attempt_ends.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempt_ends.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of its target, and of what may follow."""
+"""Classify the end of an attempt, for target ejection and for retries."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 log = structlog.get_logger(__name__)
 
-_REFUSALS: Final = frozenset(
+_REFUSAL_KINDS: Final = frozenset(
     {
         ErrorKind.BUSY,
         ErrorKind.DRAINING,
@@ -22,7 +22,7 @@
         ErrorKind.TOO_MANY_CONNECTIONS,
     }
 )
-_TARGET_ERRORS: Final = frozenset(
+_TARGET_ERROR_KINDS: Final = frozenset(
     {
         ErrorKind.OUTCOME_UNKNOWN,
         ErrorKind.PEER_UNREACHABLE,
@@ -31,13 +31,14 @@
         ErrorKind.TARGET_UNREACHABLE,
     }
 )
-# What a target answers where its work went wrong. A timeout of its own (504)
-# would only end the same elsewhere, with less time.
+# Statuses by which a target reports a failure of its own and that are retried on
+# another target. A 504 is not: the retry would time out too, with less time.
 FAILED_STATUSES: Final = frozenset({500, 502})
-# With less of its time left, another attempt could rarely end in time.
-RETRY_TIME_SHARE: Final = 0.25
-# Failures after which no target can have seen the call.
-_NOT_ARRIVED: Final = frozenset(
+# Minimum share of the timeout that must remain for a retry. With less, another
+# attempt rarely ends before the deadline.
+RETRY_MIN_TIME_SHARE: Final = 0.25
+# Failures that prove that the call reached no target.
+_NOT_DELIVERED_KINDS: Final = frozenset(
     {
         ErrorKind.BUSY,
         ErrorKind.DRAINING,
@@ -51,26 +52,29 @@
     }
 )
 _SHEDDING_STATUSES: Final = frozenset({429, 503})
-# Callers state whole milliseconds of what is left when they send; a timeout that
-# is this much of the route's counts as all of it.
-WHOLE_TIMEOUT_SHARE: Final = 0.9
+# Callers send their remaining time in whole milliseconds. A timeout of at least this
+# share of the route's timeout is treated as the full timeout.
+FULL_TIMEOUT_SHARE: Final = 0.9
 
 
-def end_of_failure(failure: Failure, is_whole_timeout: bool) -> EndKind:
-    """Return what a failed attempt says of its target."""
-    if failure.kind in _REFUSALS:
+def classify_failure(failure: Failure, is_full_timeout: bool) -> EndKind:
+    """Return how a failed attempt counts for its target."""
+    if failure.kind in _REFUSAL_KINDS:
         return EndKind.REFUSED
     if failure.kind is ErrorKind.PEER_UNREACHABLE:
         return EndKind.UNREACHABLE
-    if failure.kind in _TARGET_ERRORS:
+    if failure.kind in _TARGET_ERROR_KINDS:
         return EndKind.ERROR
-    if failure.kind is ErrorKind.TIMEOUT and is_whole_timeout:
+    if failure.kind is ErrorKind.TIMEOUT and is_full_timeout:
         return EndKind.ERROR
     return EndKind.ABANDONED
 
 
-def end_of_answer(status: int, is_whole: bool) -> EndKind:
-    """Return what an answer says of its target, passed on whole or cut."""
+def classify_answer(status: int, is_whole: bool) -> EndKind:
+    """Return how an answer counts for its target.
+
+    `is_whole` is false where the answer was cut off while it was relayed.
+    """
     if is_whole and status in _SHEDDING_STATUSES:
         return EndKind.REFUSED
     if not is_whole or status >= 500:
@@ -78,16 +82,16 @@
     return EndKind.GOOD
 
 
-def may_have_arrived(failure: Failure) -> bool:
-    """Return whether a target may have seen a call that failed."""
-    return failure.kind not in _NOT_ARRIVED
+def may_have_reached_target(failure: Failure) -> bool:
+    """Return whether a failed call may have reached a target."""
+    return failure.kind not in _NOT_DELIVERED_KINDS
 
 
 __all__ = [
     "FAILED_STATUSES",
-    "RETRY_TIME_SHARE",
-    "WHOLE_TIMEOUT_SHARE",
-    "end_of_answer",
-    "end_of_failure",
-    "may_have_arrived",
+    "FULL_TIMEOUT_SHARE",
+    "RETRY_MIN_TIME_SHARE",
+    "classify_answer",
+    "classify_failure",
+    "may_have_reached_target",
 ]
--- a/packages/pepperstair-callers/pepperstair_callers/attempt_reports.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempt_reports.py
@@ -1,4 +1,4 @@
-"""Tells operators which targets were ejected and which calls were sent again."""
+"""Report ejected targets and retried calls to operators."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
 
 def report_ejection(context: ProxyContext, ejection: Ejection) -> None:
-    """Log that a target is left out for a while, and keep the decision."""
+    """Log the temporary ejection of a target and record it as a decision."""
     vm, target = ejection.key
-    cause = f"{ejection.n_errors} errors in a row, seen from {context.vm}"
+    cause = f"{ejection.n_errors} consecutive errors, seen from {context.vm}"
     figures = (
         ("n_errors", float(ejection.n_errors)),
         ("period_ms", ejection.period_ms),
     )
-    _decide(context, DecisionKind.EJECTED, target, cause, figures)
+    _record_decision(context, DecisionKind.EJECTED, target, cause, figures)
     log.warning(Event.TARGET_EJECTED, peer=vm, target=target, cause=cause)
 
 
 def report_retry(
     context: ProxyContext, failed: Endpoint, failure: Failure, n_attempts: int
 ) -> None:
-    """Keep the decision that a call is sent to another target."""
+    """Record the decision to retry a call on another target."""
     figures = (("n_attempts", float(n_attempts)),)
     name = failed.target.name
-    _decide(context, DecisionKind.RETRIED, name, failure.kind.value, figures)
+    _record_decision(context, DecisionKind.RETRIED, name, failure.kind.value, figures)
 
 
-def _decide(
+def _record_decision(
     context: ProxyContext,
     kind: DecisionKind,
     subject: str,
--- a/packages/pepperstair-callers/pepperstair_callers/attempts.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempts.py
@@ -1,4 +1,4 @@
-"""Sends a call to a target, and to another one where that is safe."""
+"""Send a call to a target and retry it on another target where that is safe."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 from .attempt_ends import (
     FAILED_STATUSES,
-    RETRY_TIME_SHARE,
-    WHOLE_TIMEOUT_SHARE,
-    end_of_answer,
-    end_of_failure,
-    may_have_arrived,
+    FULL_TIMEOUT_SHARE,
+    RETRY_MIN_TIME_SHARE,
+    classify_answer,
+    classify_failure,
+    may_have_reached_target,
 )
 from .attempt_reports import report_ejection, report_retry
 from .context import ProxyContext
@@ -40,31 +40,31 @@
 
 log = structlog.get_logger(__name__)
 
-# The daemon beside the target is given a little less time than is left here,
-# so that its exact answer (not run, or unknown) comes before the own timeout,
-# which can say `unknown` only.
+# The daemon next to the target gets slightly less than the remaining time, so that
+# its exact answer (not run, or unknown) arrives before the timeout of this daemon,
+# which can only report `unknown`.
 HOP_MARGIN_MS: Final = 5
 HOP_MARGIN_SHARE: Final = 0.1
 
-# Time that the call waited beside the target, told by the daemon there.
+# Time that the call waited for a slot, set by the daemon next to the target.
 WAITED_HEADER: Final = b"pepperstair-waited-ms"
 
 
 class ProxiedCall:
-    """One request on its way: its route, its deadline and its attempts."""
+    """One proxied request with its route, its deadline and its attempts."""
 
     __slots__ = (
-        "_attempted_ms",
+        "_attempt_start_ms",
         "_body",
         "_call_ids",
         "_context",
         "_endpoint",
         "_excluded",
-        "_has_arrived",
         "_head",
         "_is_idempotent",
         "_latency_ms",
-        "_refused",
+        "_may_have_reached_target",
+        "_overload_failure",
         "_request",
         "_waited_before_ms",
         "compiled",
@@ -100,56 +100,56 @@
         )
         self._endpoint: Endpoint | None = None
         self._excluded: frozenset[tuple[str, str]] = frozenset()
-        self._has_arrived = False
-        self._refused: Failure | None = None
+        self._may_have_reached_target = False
+        self._overload_failure: Failure | None = None
         self.compiled = compiled
         self.deadline_ms = arrived_ms + self.timeout_ms
-        self._attempted_ms = 0.0
+        self._attempt_start_ms = 0.0
         self._latency_ms = 0.0
         self.n_attempts = 0
         self.fingerprint = b""
         self.given_up: GiveUpCause | None = None
         self.run = Run.NO
-        # Each attempt as the log shows it: where, how it ended, after how long.
+        # Attempts for the log, each as VM, target, end and latency in milliseconds.
         self.tried: list[tuple[str, str, str, float]] = []
 
     @property
     def request_id(self) -> str:
-        """Return the id that the caller gave its request, or an empty string."""
+        """Return the caller's request id, or an empty string where it set none."""
         return self._head.request_id
 
     @property
     def time_left_ms(self) -> float:
-        """Return the time until the answer is due."""
+        """Return the time until the deadline."""
         return self.deadline_ms - self._context.now_ms()
 
-    async def carry(self) -> StreamedResponse:
-        """Return the first answer of a target, or raise the last failure."""
+    async def send(self) -> StreamedResponse:
+        """Return the answer of a target, or raise the failure of the last attempt."""
         context = self._context
         percent = min(context.retry_budget_percent, self._budget_percent())
         self._budget.add_call(percent)
         await self._read_body()
-        self.fingerprint = self._take_fingerprint()
+        self.fingerprint = self._compute_fingerprint()
         self._refuse_quarantined()
-        return await self.carry_on()
+        return await self.send_until_answered()
 
-    async def carry_on(self) -> StreamedResponse:
-        """Send the call to one target after the other until one answers."""
+    async def send_until_answered(self) -> StreamedResponse:
+        """Send the call to one target after another until one answers."""
         context = self._context
         while True:
-            self._attempted_ms = context.now_ms()
+            self._attempt_start_ms = context.now_ms()
             self._endpoint = self._choose()
             self.n_attempts += 1
             try:
                 response = await self._attempt(self._endpoint)
                 context.acceptance_rates.record(self.compiled.service.name, True)
-                if self._may_end_better_elsewhere(response):
-                    return await self._answer_from_another(response)
-                self._latency_ms = context.now_ms() - self._attempted_ms
-                context.chooser.record_answer(self._endpoint, self._attempted_ms)
+                if self._is_retry_worthwhile(response):
+                    return await self._retry_elsewhere(response)
+                self._latency_ms = context.now_ms() - self._attempt_start_ms
+                context.chooser.record_answer(self._endpoint, self._attempt_start_ms)
                 return response
             except PepperstairError as error:
-                await self._back_off(error.failure)
+                await self._prepare_retry(error.failure)
             except BaseException:
                 self.run = Run.UNKNOWN
                 self.abandon()
@@ -160,46 +160,46 @@
         return self._context.budget_of(self.compiled.service.name)
 
     @property
-    def _is_whole_timeout(self) -> bool:
+    def _is_full_timeout(self) -> bool:
         """Return whether the caller allows about as much time as the route.
 
-        One that allows less has learnt nothing of the target when that is over:
-        its short timeouts must not eject a target that others use.
+        A shorter timeout that expires is no evidence against the target, so it must
+        not eject a target that other callers use.
         """
-        whole_ms = self.compiled.route.timeout_ms * WHOLE_TIMEOUT_SHARE
-        return self.timeout_ms >= whole_ms
+        full_ms = self.compiled.route.timeout_ms * FULL_TIMEOUT_SHARE
+        return self.timeout_ms >= full_ms
 
-    def _may_end_better_elsewhere(self, response: StreamedResponse) -> bool:
-        """Return whether a target's failure is worth asking another target.
+    def _is_retry_worthwhile(self, response: StreamedResponse) -> bool:
+        """Return whether to retry a failure answer on another target.
 
-        A target that fails part of its requests looks healthy otherwise, and
-        its callers would see errors that no other target gives.
+        A target that fails only part of its requests looks healthy otherwise, and
+        callers would see errors that no other target returns.
         """
         return (
             response.status in FAILED_STATUSES
             and self._is_idempotent
             and response.body.is_whole
-            and self.time_left_ms > self.timeout_ms * RETRY_TIME_SHARE
+            and self.time_left_ms > self.timeout_ms * RETRY_MIN_TIME_SHARE
         )
 
-    async def _answer_from_another(self, failed: StreamedResponse) -> StreamedResponse:
-        """Return another target's answer, or the failed one where there is none."""
+    async def _retry_elsewhere(self, failed: StreamedResponse) -> StreamedResponse:
+        """Return another target's answer, or the failed one if the retry fails."""
         failed_endpoint = self._endpoint
         failed.cancel()
-        self._has_arrived = True
+        self._may_have_reached_target = True
         self.run = Run.YES
         failure = Failure(ErrorKind.TARGET_FAILED, f"status {failed.status}")
         try:
-            await self._back_off(failure)
-            return await self.carry_on()
+            await self._prepare_retry(failure)
+            return await self.send_until_answered()
         except PepperstairError:
-            # The target's own answer says more than that of the second try.
+            # The first target's answer is more specific than the retry's failure.
             self._endpoint = None
             self._excluded = self._excluded | {failed_endpoint.key}
             return failed
 
     def end(self, end: CallEnd) -> None:
-        """Tell the choice of targets how the last attempt ended, once."""
+        """Report the end of the current attempt to the target chooser, once."""
         endpoint = self._endpoint
         if endpoint is None:
             return
@@ -214,57 +214,59 @@
         if ejection is not None:
             report_ejection(context, ejection)
 
-    def _note_tried(self, ended: str, latency_ms: float) -> None:
+    def _record_tried(self, ended: str, latency_ms: float) -> None:
         endpoint = self._endpoint
         if endpoint is not None:
             target = endpoint.target.name
             self.tried.append((endpoint.vm, target, ended, round(latency_ms, 1)))
 
-    def _end(self, kind: EndKind, latency_ms: float = 0.0, avoided_ms: int = 0) -> None:
+    def _end(self, kind: EndKind, latency_ms: float = 0.0, avoid_ms: int = 0) -> None:
         route = self.compiled.route.name
-        self.end(CallEnd(kind, self._attempted_ms, latency_ms, avoided_ms, route))
+        self.end(CallEnd(kind, self._attempt_start_ms, latency_ms, avoid_ms, route))
 
     def end_answered(
         self, response: StreamedResponse, is_whole: bool, n_bytes: int
     ) -> None:
-        """Take the end of an answer that was passed on.
+        """Record the end of an answer that was relayed to the caller.
 
-        What the target announced or says on a health endpoint plays no part:
-        errors and cut answers count against it, whatever it says of itself.
+        Errors and cut answers count against the target regardless of the state that
+        it announces or reports on a health endpoint.
         """
-        kind = end_of_answer(response.status, is_whole)
-        self._note_tried(str(response.status), self._latency_ms)
+        kind = classify_answer(response.status, is_whole)
+        self._record_tried(str(response.status), self._latency_ms)
         waited = header_value(response.headers, WAITED_HEADER)
         waited_ms = int(waited) if waited.isdigit() else 0
         self._end(kind, max(0.0, self._latency_ms - waited_ms))
         self._context.answer_sizes.record(self.compiled.route.name, n_bytes)
 
     def abandon(self) -> None:
-        """Take the end of an answer that the caller did not wait for."""
+        """Record an attempt whose caller disconnected before the end of the answer."""
         self._end(EndKind.ABANDONED)
 
     async def _read_body(self) -> None:
-        if not self._head.has_body or self._body.keep_nowait():
+        if not self._head.has_body or self._body.buffer_nowait():
             return
         try:
             async with asyncio.timeout(self.time_left_ms / 1000):
-                await self._body.keep()
+                await self._body.buffer()
         except TimeoutError as error:
-            failure = Failure(ErrorKind.DEADLINE_BEFORE_RUN, "reading the body")
+            failure = Failure(
+                ErrorKind.DEADLINE_BEFORE_RUN, "request body not received"
+            )
             raise PepperstairError(failure) from error
 
-    def _take_fingerprint(self) -> bytes:
+    def _compute_fingerprint(self) -> bytes:
         request = self._request
         return fingerprint(
             request.method,
             request.host,
             request.path,
             self._context.service,
-            self._body.beginning,
+            self._body.prefix,
         )
 
     def _refuse_quarantined(self) -> None:
-        """Refuse what no target may run, without asking one."""
+        """Raise if the request is quarantined, without contacting a target."""
         context = self._context
         refusal = context.quarantine.refusal(self.fingerprint, context.now_ms())
         if refusal is not None:
@@ -275,17 +277,17 @@
         chosen = context.chooser.choose(
             context.endpoints(self.compiled),
             context.load_of,
-            self._attempted_ms,
+            self._attempt_start_ms,
             self._excluded,
             is_urgent=self.compiled.route.priority == "urgent",
             route=self.compiled.route.name,
             n_answer_bytes=context.answer_sizes.of(self.compiled.route.name),
             objective_ms=self.compiled.route.objective_ms,
-            is_room_wanted=self._refused is not None,
+            is_room_wanted=self._overload_failure is not None,
         )
-        if chosen is None and self._refused is not None:
+        if chosen is None and self._overload_failure is not None:
             self.given_up = GiveUpCause.NO_ROOM
-            raise PepperstairError(self._refused)
+            raise PepperstairError(self._overload_failure)
         if chosen is None:
             failure = Failure(ErrorKind.NO_TARGET, self.compiled.service.name)
             raise PepperstairError(failure)
@@ -293,9 +295,9 @@
 
     async def _attempt(self, endpoint: Endpoint) -> StreamedResponse:
         head = self._call_head(endpoint)
-        body = self._body.for_attempt()
+        body = self._body.body_for_attempt()
         if endpoint.vm == self._context.vm:
-            # The runner beside the target holds the deadline itself.
+            # The local runner enforces the deadline itself.
             return await self._context.carry(endpoint, head, body)
         try:
             async with asyncio.timeout(max(0.0, self.time_left_ms) / 1000) as scope:
@@ -306,17 +308,17 @@
             failure = self._body.failure or Failure(ErrorKind.TIMEOUT)
             raise PepperstairError(failure) from error
 
-    async def _back_off(self, failure: Failure) -> None:
-        """Wait before another attempt, or raise the failure at once."""
+    async def _prepare_retry(self, failure: Failure) -> None:
+        """Wait until the retry may start, or raise the failure if there is none."""
         failed = self._endpoint
-        latency_ms = self._context.now_ms() - self._attempted_ms
-        kind = end_of_failure(failure, self._is_whole_timeout)
-        self._has_arrived |= may_have_arrived(failure)
-        avoided_ms = failure.retry_after_ms
+        latency_ms = self._context.now_ms() - self._attempt_start_ms
+        kind = classify_failure(failure, self._is_full_timeout)
+        self._may_have_reached_target |= may_have_reached_target(failure)
+        avoid_ms = failure.retry_after_ms
         if failure.kind is ErrorKind.OVERLOADED:
-            avoided_ms = FULL_AVOIDED_MS
-        self._note_tried(failure.kind, latency_ms)
-        self._end(kind, latency_ms, avoided_ms)
+            avoid_ms = FULL_AVOIDED_MS
+        self._record_tried(failure.kind, latency_ms)
+        self._end(kind, latency_ms, avoid_ms)
         attempt = Attempt(
             failure,
             self.compiled.route.priority,
@@ -326,7 +328,7 @@
             self.time_left_ms,
             self.run,
             self.compiled.route.n_attempts_max,
-            self._has_arrived,
+            self._may_have_reached_target,
         )
         self.run = attempt.has_run
         excluded = self._excluded | {failed.key}
@@ -345,15 +347,15 @@
         if isinstance(decision, GiveUp):
             self.given_up = decision.cause
             raise PepperstairError(final)
-        # Where one target has no room, another one is asked only if it has: in an
-        # overload each call would otherwise be refused several times over.
-        self._refused = final if failure.kind is ErrorKind.OVERLOADED else None
+        # After an overloaded target, the call is retried only on a target with free
+        # capacity. Otherwise each call would be refused several times in an overload.
+        self._overload_failure = final if failure.kind is ErrorKind.OVERLOADED else None
         self._excluded = excluded
         report_retry(self._context, failed, failure, self.n_attempts)
         await asyncio.sleep(decision.delay_ms / 1000)
 
     def _retry_after_ms(self, failure: Failure) -> int:
-        """Return when the caller should come back, 0 where nothing tells."""
+        """Return after how long the caller should retry, 0 if that is unknown."""
         if failure.kind is not ErrorKind.TARGET_REFUSED:
             return failure.retry_after_ms
         service = self.compiled.service.name
@@ -370,25 +372,28 @@
             target=endpoint.target.name,
             method=request.method,
             path=request.path,
-            headers=self._head.passed,
+            headers=self._head.forwarded,
             priority=self.compiled.route.priority,
             is_idempotent=self._is_idempotent,
-            time_left_ms=self._time_for(endpoint),
+            time_left_ms=self._timeout_for_ms(endpoint),
             has_body=self._head.has_body,
             route=self.compiled.route.name,
-            wanted_left_ms=self._wanted_left_ms(),
+            wanted_left_ms=self._objective_left_ms(),
             fingerprint=self.fingerprint,
         )
 
-    def _wanted_left_ms(self) -> int:
-        """Return how long the answer is worth most, negative if that is unknown."""
+    def _objective_left_ms(self) -> int:
+        """Return the time left until the route's objective, -1 if it has none.
+
+        Time that the caller waited before it sent the request again counts too.
+        """
         objective_ms = self.compiled.route.objective_ms
         if not objective_ms:
             return -1
         waited_ms = self.timeout_ms - self.time_left_ms + self._waited_before_ms
         return max(0, int(objective_ms - waited_ms))
 
-    def _time_for(self, endpoint: Endpoint) -> int:
+    def _timeout_for_ms(self, endpoint: Endpoint) -> int:
         left_ms = self.time_left_ms
         if endpoint.vm != self._context.vm:
             left_ms -= min(HOP_MARGIN_MS, left_ms * HOP_MARGIN_SHARE)
@@ -400,7 +405,7 @@
 
 
 def count_call_ids() -> Iterator[int]:
-    """Return the ids of a daemon's calls; each attempt has its own."""
+    """Return an iterator over call ids, of which each attempt takes one."""
     return itertools.count(1)
 
 
--- a/packages/pepperstair-callers/pepperstair_callers/context.py
+++ b/packages/pepperstair-callers/pepperstair_callers/context.py
@@ -1,4 +1,4 @@
-"""What the proxy needs of the rest of the daemon."""
+"""The interface between the proxy and the rest of the daemon."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 class ProxyContext(Struct, frozen=True):
     """The state and the functions that the proxy shares with the daemon.
 
-    `carry` runs one attempt, beside the target or through its daemon.
-    `budget_of` gives the retry budget that a service's calls draw on. `now_ms`
-    never goes back. `is_joining` says that the daemon has just started, so that what
-    it does not know yet it may know in a moment. `service` is that of the target on
-    the own VM, where one is to be named to targets. `time_to_stop_ms` is what is left
-    for calls of a daemon that stops, infinite for any other.
+    `carry` runs one attempt, on a local target or through the daemon next to the
+    target. `budget_of` returns the retry budget of a service. `now_ms` is a monotonic
+    clock. `is_joining` is true shortly after the start of the daemon, while it is
+    still receiving its configuration and targets. `service` is the service of the
+    target on this VM, empty where it is not sent to targets. `time_to_stop_ms` is the
+    time that a stopping daemon leaves for its calls, infinite if it is not stopping.
     """
 
     vm: str
--- a/packages/pepperstair-callers/pepperstair_callers/proxy.py
+++ b/packages/pepperstair-callers/pepperstair_callers/proxy.py
@@ -1,4 +1,4 @@
-"""Carries a caller's request to a target and the answer back."""
+"""Forward callers' requests to targets and relay the answers."""
 
 from __future__ import annotations
 
@@ -21,16 +21,17 @@
 
 log = structlog.get_logger(__name__)
 
-# For how long a request waits for a daemon that has just started: targets announce
-# themselves every 1.5 s, and half of them are known after half a second.
+# How long a request waits for a daemon that has just started. Targets announce
+# themselves every 1.5 s; half of them are known after half a second.
 JOIN_WAIT_MAX_MS: Final = 500.0
-# Waiting longer than this share of what its caller allows would cost it its answer.
-JOIN_WAIT_SHARE: Final = 0.25
-JOIN_CHECK_MS: Final = 20
+# Maximum share of the caller's timeout spent on that wait. After a longer wait, the
+# request would miss its deadline.
+STARTUP_WAIT_SHARE: Final = 0.25
+STARTUP_POLL_INTERVAL_MS: Final = 20
 
 
 class Proxy:
-    """The handler of callers' requests."""
+    """Handles the requests of callers."""
 
     def __init__(self, context: ProxyContext) -> None:
         self._context = context
@@ -42,25 +43,25 @@
         self.n_in_flight = 0
         self.n_held_at_start = 0
         self.n_quarantined = 0
-        # Failed calls by why they were not sent to another target.
+        # Number of failed calls by the reason why they were not retried.
         self.n_given_up = dict.fromkeys(GiveUpCause, 0)
         self._scopes: set[asyncio.Timeout] = set()
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request: the target's whole answer or one clear failure."""
+        """Answer one request with the target's whole answer or with a failure."""
         self.n_calls += 1
         self.n_in_flight += 1
         start_ms = self._context.now_ms() - exchange.held_s * 1000
         call: ProxiedCall | None = None
-        # Where nothing else is learnt, as when this task is cancelled because
-        # the connection went away, the caller has left.
+        # The outcome if none is set below, as when this task is cancelled because the
+        # connection closed: the caller has disconnected.
         status, error = ANSWERS[ErrorKind.CANCELLED].status, ErrorKind.CANCELLED
         try:
             try:
                 if self._context.is_joining():
-                    await self._wait_to_join(exchange.request)
-                call = self._begin(exchange, start_ms)
-                response = await self._carry(call)
+                    await self._wait_for_startup(exchange.request)
+                call = self._create_call(exchange, start_ms)
+                response = await self._send(call)
             except PepperstairError as failed:
                 failure = failed.failure
                 status, error = failure.answer.status, failure.kind
@@ -69,20 +70,21 @@
                 await answer_failure(exchange, failure, self._context.header_names)
                 return
             call.run = Run.YES
-            is_whole = await self._pass_on(exchange, call, response)
+            is_whole = await self._relay_answer(exchange, call, response)
             status = response.status
             error = None if is_whole else ErrorKind.TARGET_FAILED
         except ConnectionLostError:
-            # The caller's own connection broke while its body was arriving.
+            # The caller's connection closed before the request body was complete.
             exchange.abort()
         finally:
             self._finish(call, status, error, start_ms)
 
     def is_repeatable(self, request: Request) -> bool:
-        """Return whether a request may run side by side with others.
+        """Return whether a request may run concurrently with others.
 
-        One whose route is not known may find it by the time that it begins, as on a
-        daemon that has just started; it could then run twice.
+        A request without a known route is not repeatable: on a daemon that has just
+        started, the route may become known before the request begins, and a
+        non-idempotent request could then run twice.
         """
         compiled = self._context.route_table().match(request.host, request.path)
         if compiled is None:
@@ -92,22 +94,22 @@
         return self._read_head(request.headers).is_idempotent
 
     def end_all(self) -> None:
-        """Answer every request that still waits for its target, at once.
+        """Answer every request that still waits for its target with a failure.
 
-        A daemon that must go can't wait for the slowest target. A connection
-        that is closed without an answer tells the caller nothing, not even
-        whether it may send a request again that must not run twice.
+        A daemon that must exit can't wait for the slowest target. If it closed the
+        connections without an answer, callers could not tell whether a
+        non-idempotent request may be retried.
         """
         now_s = asyncio.get_running_loop().time()
         for scope in self._scopes:
             scope.reschedule(now_s)
 
-    async def _carry(self, call: ProxiedCall) -> StreamedResponse:
+    async def _send(self, call: ProxiedCall) -> StreamedResponse:
         scope = asyncio.timeout(None)
         try:
             async with scope:
                 self._scopes.add(scope)
-                return await call.carry()
+                return await call.send()
         except TimeoutError as error:
             kind = ErrorKind.DRAINING if call.run is Run.NO else ErrorKind.TIMEOUT
             failure = Failure(kind, "this daemon is stopping", run=call.run)
@@ -115,26 +117,27 @@
         finally:
             self._scopes.discard(scope)
 
-    async def _wait_to_join(self, request: Request) -> None:
-        """Let a request wait a moment for what the starting daemon is about to learn.
+    async def _wait_for_startup(self, request: Request) -> None:
+        """Delay a request until the starting daemon can route it, up to a limit.
 
-        A daemon that was killed knows its configuration and its targets some tenths
-        of a second after it listens. Refused meanwhile, its callers would spend one
-        of their few retries and a second; after a kill of all daemons, all would.
+        A daemon that restarts after a kill receives its configuration and targets some
+        tenths of a second after it starts to listen. If it refused requests meanwhile,
+        its callers would spend a second and one of their few retries; after a kill of
+        all daemons, every caller would.
         """
         timeout_ms = self._read_head(request.headers).timeout_ms
-        longest_ms = JOIN_WAIT_MAX_MS
+        wait_max_ms = JOIN_WAIT_MAX_MS
         if timeout_ms:
-            longest_ms = min(longest_ms, timeout_ms * JOIN_WAIT_SHARE)
-        end_ms = self._context.now_ms() + longest_ms
-        if self._can_carry(request):
+            wait_max_ms = min(wait_max_ms, timeout_ms * STARTUP_WAIT_SHARE)
+        end_ms = self._context.now_ms() + wait_max_ms
+        if self._can_route(request):
             return
         self.n_held_at_start += 1
-        while not self._can_carry(request) and self._context.now_ms() < end_ms:
-            await asyncio.sleep(JOIN_CHECK_MS / 1000)
+        while not self._can_route(request) and self._context.now_ms() < end_ms:
+            await asyncio.sleep(STARTUP_POLL_INTERVAL_MS / 1000)
 
-    def _can_carry(self, request: Request) -> bool:
-        """Return whether all is known that a request needs, or it is refused anyway."""
+    def _can_route(self, request: Request) -> bool:
+        """Return whether a request can be routed, or is certain to be refused."""
         context = self._context
         if context.is_draining():
             return True
@@ -146,8 +149,8 @@
         parts = [part for _, part in compiled.parts] or [compiled]
         return all(context.endpoints(part) for part in parts)
 
-    def _begin(self, exchange: Exchange, arrived_ms: float) -> ProxiedCall:
-        """Find the route of a request, or raise why it is not carried."""
+    def _create_call(self, exchange: Exchange, arrived_ms: float) -> ProxiedCall:
+        """Return the call for a request, or raise if the request is refused."""
         request = exchange.request
         context = self._context
         if context.is_draining():
@@ -155,7 +158,9 @@
         if not context.is_ready():
             raise PepperstairError(Failure(ErrorKind.NOT_READY))
         if request.method == "CONNECT":
-            raise PepperstairError(Failure(ErrorKind.BAD_REQUEST, "no tunnels"))
+            raise PepperstairError(
+                Failure(ErrorKind.BAD_REQUEST, "CONNECT is not supported")
+            )
         compiled = context.route_table().match(request.host, request.path)
         if compiled is None:
             raise PepperstairError(Failure(ErrorKind.NO_ROUTE, request.path))
@@ -171,14 +176,14 @@
             context, request, head, compiled, body, self._call_ids, arrived_ms
         )
 
-    async def _pass_on(
+    async def _relay_answer(
         self, exchange: Exchange, call: ProxiedCall, response: StreamedResponse
     ) -> bool:
-        """Relay an answer; return whether the caller was given all of it.
+        """Relay an answer and return whether it was relayed whole.
 
-        An answer that is whole already may still wait for that to an earlier
-        request of its connection. It leaves the target's slot at once: held until
-        then, the slot would do nothing, and the target would look busy.
+        An answer that has arrived whole frees the target's slot at once. Relaying it
+        may have to wait for the answer to an earlier request on the caller's
+        connection; a slot held until then would be idle and make the target look busy.
         """
         if response.body.is_whole:
             response.cancel()
@@ -227,9 +232,10 @@
             self._log(call, outcome)
 
     def _log(self, call: ProxiedCall, outcome: CallOutcome) -> None:
-        """Log what became of a request and on what grounds.
+        """Log the outcome of a request and the attempts that led to it.
 
-        Every request that did not go smoothly has a line, and a few others.
+        Requests with an error, a 5xx status or a retry are always logged, other
+        requests only if they are sampled.
         """
         is_routine = outcome.error is None and outcome.status < 500
         is_routine = is_routine and not outcome.n_retries
--- a/packages/pepperstair-callers/pepperstair_callers/relay.py
+++ b/packages/pepperstair-callers/pepperstair_callers/relay.py
@@ -1,4 +1,4 @@
-"""Passes an answer on to the caller, whole or visibly cut."""
+"""Relay answers and failures to the caller."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 ERROR_HEADER: Final = b"pepperstair-error"
 RETRY_AFTER_MS_HEADER: Final = b"pepperstair-retry-after-ms"
 
-# When to come back after a failure that passes by itself but has no time of
-# its own, such as a target that leaves while another one starts.
+# Default for transient failures that state no retry time, such as a target that
+# drains while another one starts.
 RETRY_AFTER_DEFAULT_MS: Final = 1_000
 
 _NOT_RUN_STATUSES: Final = frozenset({429, 503})
-_RAN: Final = (RUN_HEADER, Run.YES.encode())
+_RUN_YES: Final = (RUN_HEADER, Run.YES.encode())
 _TEXT: Final = (b"content-type", b"text/plain; charset=utf-8")
 
 
 async def relay(exchange: Exchange, response: StreamedResponse) -> bool:
-    """Pass an answer on; return whether the target gave all of it.
+    """Relay an answer and return whether it was relayed whole.
 
-    Where it is cut, the caller's connection is broken, so that the caller sees
-    an error and never takes the part for the whole.
+    If the answer is cut, the caller's connection is aborted, so that the caller gets
+    an error and can't mistake a partial answer for a whole one.
     """
-    headers = (*end_to_end_headers(response.headers), _RAN)
+    headers = (*end_to_end_headers(response.headers), _RUN_YES)
     try:
         await exchange.stream(response.status, headers, response.body)
     except (PepperstairError, ConnectionLostError):
@@ -48,7 +48,7 @@
 async def answer_failure(
     exchange: Exchange, failure: Failure, names: HeaderNames
 ) -> None:
-    """Answer with the table's answer to a failure."""
+    """Send the answer that the `ANSWERS` table defines for a failure."""
     answer = failure.answer
     headers = [
         _TEXT,
@@ -66,10 +66,10 @@
 
 
 def _status_of(failure: Failure) -> int:
-    """Return the status of a failure, which must not deny a run.
+    """Return the status of a failure, which must not wrongly state `not run`.
 
-    A refused second attempt says nothing of a first one whose answer was lost.
-    Callers take 429 and 503 as a promise that the request did not run.
+    Callers rely on 429 and 503 to mean that the request did not run. A refused
+    second attempt does not prove that for a first attempt whose answer was lost.
     """
     status = failure.answer.status
     if status in _NOT_RUN_STATUSES and failure.has_run is not Run.NO:
--- a/packages/pepperstair-callers/pepperstair_callers/request_body.py
+++ b/packages/pepperstair-callers/pepperstair_callers/request_body.py
@@ -1,4 +1,4 @@
-"""The body of a caller's request: capped, and kept while it can be sent again."""
+"""Request bodies, limited in size and buffered for retries."""
 
 from __future__ import annotations
 
@@ -12,77 +12,85 @@
 
 log = structlog.get_logger(__name__)
 
-# Bodies up to this size are read whole before the first attempt, so that a
-# refused call can go to another target. Larger ones stream, and can be sent
-# again only while nothing of them was read.
+# Bodies up to this size are read whole before the first attempt, so that a refused
+# call can be retried on another target. Larger bodies are streamed and can be sent
+# again only while nothing of them has been read.
 REPLAY_MAX_BYTES: Final = 65_536
 
 
 class RequestBody:
-    """Hands a body to one attempt after another, as far as that is possible."""
+    """The body of a request, which is sent again on a retry if it is replayable."""
 
-    __slots__ = ("_kept", "_max_bytes", "_source", "_streamed", "failure", "on_failed")
+    __slots__ = (
+        "_buffered",
+        "_max_bytes",
+        "_source",
+        "_streamed",
+        "failure",
+        "on_failed",
+    )
 
     def __init__(self, source: BodyBuffer, max_bytes: int) -> None:
         self._source = source
         self._max_bytes = max_bytes
-        self._kept = b""
-        self._streamed: CappedBody | None = None
+        self._buffered = b""
+        self._streamed: StreamedBody | None = None
         self.failure: Failure | None = None
         self.on_failed: Callable[[], None] = lambda: None
 
     @property
     def is_replayable(self) -> bool:
         """Return whether another attempt would send the same body."""
-        return self._streamed is None or not self._streamed.was_read
+        return self._streamed is None or not self._streamed.is_read_started
 
     @property
-    def beginning(self) -> bytes:
-        """Return as many of the first bytes as are kept of any body.
+    def prefix(self) -> bytes:
+        """Return the first `REPLAY_MAX_BYTES` bytes of the body.
 
-        However a larger body arrives, these are the same each time that it is sent.
+        For a larger body, these are the same each time it is sent, however it is split
+        on arrival.
         """
-        return self._kept[:REPLAY_MAX_BYTES]
+        return self._buffered[:REPLAY_MAX_BYTES]
 
-    def keep_nowait(self) -> bool:
-        """Keep a small body that is here already, and say whether it was."""
+    def buffer_nowait(self) -> bool:
+        """Buffer a small body that has arrived whole; return whether it had."""
         source = self._source
         if not source.is_whole or source.n_bytes > REPLAY_MAX_BYTES:
             return False
         parts = []
         while part := source.read_nowait():
             parts.append(part)
-        self._kept = b"".join(parts)
-        self._check_kept()
+        self._buffered = b"".join(parts)
+        self._check_buffered_size()
         return True
 
-    async def keep(self) -> None:
-        """Read a small body to its end, or as much of a larger one as is kept."""
+    async def buffer(self) -> None:
+        """Buffer a small body, or the first `REPLAY_MAX_BYTES` of a larger one."""
         parts = []
         n_bytes = 0
         while n_bytes <= REPLAY_MAX_BYTES and (part := await self._source.read()):
             parts.append(part)
             n_bytes += len(part)
-        self._kept = b"".join(parts)
-        self._check_kept()
+        self._buffered = b"".join(parts)
+        self._check_buffered_size()
         if n_bytes > REPLAY_MAX_BYTES:
-            self._streamed = CappedBody(self, self._source, self._kept)
+            self._streamed = StreamedBody(self, self._source, self._buffered)
 
-    def _check_kept(self) -> None:
-        if len(self._kept) > self._max_bytes:
+    def _check_buffered_size(self) -> None:
+        if len(self._buffered) > self._max_bytes:
             raise PepperstairError(Failure(ErrorKind.BODY_TOO_LARGE))
 
-    def for_attempt(self) -> BodyBuffer:
+    def body_for_attempt(self) -> BodyBuffer:
         """Return the body for one attempt."""
         if self._streamed is not None:
             return self._streamed
-        return BodyBuffer.of(self._kept)
+        return BodyBuffer.of(self._buffered)
 
-    def check(self, n_bytes: int) -> None:
-        """Refuse what goes over the cap.
+    def check_size(self, n_bytes: int) -> None:
+        """Raise if the bytes received exceed the size limit.
 
-        A chunked body states no length beforehand: without counting, one
-        caller could send for ever and hold a slot all the while.
+        A chunked body has no length in its headers: without this check, a caller
+        could send without end and hold a slot indefinitely.
         """
         if n_bytes > self._max_bytes:
             self.failure = Failure(ErrorKind.BODY_TOO_LARGE)
@@ -90,10 +98,10 @@
             raise PepperstairError(self.failure)
 
 
-class CappedBody(BodyBuffer):
-    """A body that is still arriving, with the part that was read before it."""
+class StreamedBody(BodyBuffer):
+    """A body that is still arriving, starting with the bytes already buffered."""
 
-    __slots__ = ("_n_total_bytes", "_owner", "_source", "was_read")
+    __slots__ = ("_n_total_bytes", "_owner", "_source", "is_read_started")
 
     def __init__(self, owner: RequestBody, source: BodyBuffer, kept: bytes) -> None:
         super().__init__()
@@ -101,23 +109,23 @@
         self._owner = owner
         self._source = source
         self._n_total_bytes = len(kept)
-        self.was_read = False
+        self.is_read_started = False
 
     async def read(self) -> bytes:
-        """Return the next part, b"" at the end, or raise where it was cut."""
-        self.was_read = True
+        """Return the next part, b"" at the end, or raise if the body was cut."""
+        self.is_read_started = True
         if kept := super().read_nowait():
             return kept
         part = await self._source.read()
         self._n_total_bytes += len(part)
-        self._owner.check(self._n_total_bytes)
+        self._owner.check_size(self._n_total_bytes)
         if not part:
             self.finish()
         return part
 
     def read_nowait(self) -> bytes:
-        """Return nothing: what arrives is counted by `read` alone."""
+        """Return b"", as only `read` checks the size limit."""
         return b""
 
 
-__all__ = ["REPLAY_MAX_BYTES", "CappedBody", "RequestBody"]
+__all__ = ["REPLAY_MAX_BYTES", "RequestBody", "StreamedBody"]
--- a/packages/pepperstair-callers/pepperstair_callers/request_heads.py
+++ b/packages/pepperstair-callers/pepperstair_callers/request_heads.py
@@ -1,4 +1,4 @@
-"""What the head of a caller's request says about its call."""
+"""Parse the head of a caller's request."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class RequestHead(Struct, frozen=True):
-    """The headers of a request, read once for all decisions about its call.
+    """The parsed headers of a request.
 
-    `timeout_ms` and `n_body_bytes` are 0 where none is stated; `passed` are the
-    headers that the target gets.
+    `timeout_ms` and `n_body_bytes` are 0 if the request does not state them.
+    `forwarded` holds the headers for the target.
     """
 
     n_body_bytes: int
@@ -29,7 +29,7 @@
     timeout_ms: int
     is_idempotent: bool
     request_id: str
-    passed: Headers
+    forwarded: Headers
 
     @property
     def has_body(self) -> bool:
@@ -41,10 +41,10 @@
 
 
 def make_head_reader(names: HeaderNames, service: str = "") -> HeadReader:
-    """Return the function that reads heads whose headers have these names.
+    """Return a function that parses request heads with these header names.
 
-    `service` is that of the VM's own target; it goes with each request that is
-    passed on, where a header for it is in use.
+    `service` is the service of the target on this VM. It is added to each forwarded
+    request if `names` has a header for it.
 
     >>> read_head = make_head_reader(HeaderNames())
     >>> read_head(((b"pepperstair-timeout-ms", b"800"),)).timeout_ms
@@ -55,43 +55,43 @@
     added = caller if names.caller_service else ()
 
     def read_head(headers: Headers) -> RequestHead:
-        known: dict[bytes, bytes] = {}
-        passed = []
+        values: dict[bytes, bytes] = {}
+        forwarded = []
         for item in headers:
             name, value = item
-            known.setdefault(name, value)
+            values.setdefault(name, value)
             if name not in replaced and not name.startswith(_OWN_PREFIX):
-                passed.append(item)
-        is_chunked = b"transfer-encoding" in known
-        if b"connection" in known or is_chunked:
-            passed = _without_connection_headers(passed, known)
-        timeout = known.get(names.timeout_ms, b"")
+                forwarded.append(item)
+        is_chunked = b"transfer-encoding" in values
+        if b"connection" in values or is_chunked:
+            forwarded = _without_connection_headers(forwarded, values)
+        timeout = values.get(names.timeout_ms, b"")
         return RequestHead(
-            n_body_bytes=int(known.get(b"content-length", 0)),
+            n_body_bytes=int(values.get(b"content-length", 0)),
             is_chunked=is_chunked,
             timeout_ms=int(timeout) if timeout.isdigit() else 0,
-            is_idempotent=known.get(names.idempotent, b"").lower() == b"true",
-            request_id=known.get(names.request_id, b"").decode("latin-1"),
-            passed=(*passed, *added),
+            is_idempotent=values.get(names.idempotent, b"").lower() == b"true",
+            request_id=values.get(names.request_id, b"").decode("latin-1"),
+            forwarded=(*forwarded, *added),
         )
 
     return read_head
 
 
 def _without_connection_headers(
-    passed: list[tuple[bytes, bytes]], known: dict[bytes, bytes]
+    forwarded: list[tuple[bytes, bytes]], values: dict[bytes, bytes]
 ) -> list[tuple[bytes, bytes]]:
-    """Drop what concerns the caller's connection only.
+    """Drop the headers that apply to the caller's connection only.
 
-    With chunks, a stated length is left out: two lengths for one body are how
-    a request is smuggled past a proxy (RFC 9112, section 6.3).
+    For a chunked body, `content-length` is dropped too: two lengths for one body
+    allow request smuggling (RFC 9112, section 6.3).
     """
-    named = known.get(b"connection", b"").lower().split(b",")
+    named = values.get(b"connection", b"").lower().split(b",")
     dropped = {name.strip() for name in named}
-    is_chunked = b"transfer-encoding" in known
+    is_chunked = b"transfer-encoding" in values
     if is_chunked:
         dropped.add(b"content-length")
-    kept = [item for item in passed if item[0] not in dropped]
+    kept = [item for item in forwarded if item[0] not in dropped]
     return [*kept, _CHUNKED] if is_chunked else kept
 
 
--- a/tests/test_attempt_ends.py
+++ b/tests/test_attempt_ends.py
@@ -5,9 +5,9 @@
 import pytest
 
 from pepperstair_callers.attempt_ends import (
-    end_of_answer,
-    end_of_failure,
-    may_have_arrived,
+    classify_answer,
+    classify_failure,
+    may_have_reached_target,
 )
 from pepperstair_core.calls import EndKind
 from pepperstair_core.errors import ErrorKind, Failure
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "is_whole_timeout", "expected"),
+    ("kind", "is_full_timeout", "expected"),
     [
         (ErrorKind.OVERLOADED, True, EndKind.REFUSED),
         (ErrorKind.TARGET_REFUSED, True, EndKind.REFUSED),
@@ -27,23 +27,23 @@
         (ErrorKind.CANCELLED, True, EndKind.ABANDONED),
     ],
 )
-def test_failures_are_told_apart(kind, is_whole_timeout, expected):
-    assert end_of_failure(Failure(kind), is_whole_timeout) is expected
+def test_failures_are_told_apart(kind, is_full_timeout, expected):
+    assert classify_failure(Failure(kind), is_full_timeout) is expected
 
 
 def test_answers_are_told_apart():
-    assert end_of_answer(200, True) is EndKind.GOOD
-    assert end_of_answer(404, True) is EndKind.GOOD
-    assert end_of_answer(200, False) is EndKind.ERROR
-    assert end_of_answer(500, True) is EndKind.ERROR
-    assert end_of_answer(503, True) is EndKind.REFUSED
+    assert classify_answer(200, True) is EndKind.GOOD
+    assert classify_answer(404, True) is EndKind.GOOD
+    assert classify_answer(200, False) is EndKind.ERROR
+    assert classify_answer(500, True) is EndKind.ERROR
+    assert classify_answer(503, True) is EndKind.REFUSED
 
 
 def test_only_what_reached_a_target_counts_as_arrived():
-    assert not may_have_arrived(Failure(ErrorKind.OVERLOADED))
-    assert not may_have_arrived(Failure(ErrorKind.TARGET_UNREACHABLE))
-    assert may_have_arrived(Failure(ErrorKind.TARGET_REFUSED))
-    assert may_have_arrived(Failure(ErrorKind.TARGET_FAILED))
+    assert not may_have_reached_target(Failure(ErrorKind.OVERLOADED))
+    assert not may_have_reached_target(Failure(ErrorKind.TARGET_UNREACHABLE))
+    assert may_have_reached_target(Failure(ErrorKind.TARGET_REFUSED))
+    assert may_have_reached_target(Failure(ErrorKind.TARGET_FAILED))
 
 
 @on_loop
