--- a/packages/pepperstair-targets/pepperstair_targets/__init__.py
+++ b/packages/pepperstair-targets/pepperstair_targets/__init__.py
@@ -1,10 +1,10 @@
-"""Targets beside the daemon: announcements, leases and calls."""
+"""Targets on the VM of the daemon: announcements, leases and calls."""
 
 from __future__ import annotations
 
 from .announcements import handle_announcement
 from .ordered import (
-    HELD_UP_MAX_MS,
+    ANNOUNCEMENT_DELAY_MAX_MS,
     LAST_SEQUENCE,
     Announcement,
     Departure,
@@ -15,7 +15,7 @@
 from .target_call import TargetOptions
 
 __all__ = [
-    "HELD_UP_MAX_MS",
+    "ANNOUNCEMENT_DELAY_MAX_MS",
     "LAST_SEQUENCE",
     "Announcement",
     "Departure",
--- a/packages/pepperstair-targets/pepperstair_targets/announcements.py
+++ b/packages/pepperstair-targets/pepperstair_targets/announcements.py
@@ -1,4 +1,4 @@
-"""The HTTP interface through which targets announce themselves."""
+"""Parse the announcements that targets send over HTTP."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Announcement(Struct, frozen=True):
-    """What a target says of itself."""
+    """The announcement of a target as sent in JSON."""
 
     address: Annotated[str, Option("Address and port that the target serves on.")]
     labels: Annotated[dict[str, str], Option("Labels, over those of the VM.")] = {}
@@ -43,7 +43,7 @@
     body: bytes,
     now_ms: int,
 ) -> Result[int, list[Fault]]:
-    """Take an announcement and return the lease in milliseconds."""
+    """Register an announced target and return its lease in milliseconds."""
     read = _read_announcement(name, body)
     if read.is_err():
         return read
--- a/packages/pepperstair-targets/pepperstair_targets/answer_body.py
+++ b/packages/pepperstair-targets/pepperstair_targets/answer_body.py
@@ -1,4 +1,4 @@
-"""The body of a target's answer, with a limit on how long it may stand still."""
+"""The body of a target's answer, with an idle timeout."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 log = structlog.get_logger(__name__)
 
-BODY_IDLE_LIMIT_S: Final = 30.0
+BODY_IDLE_TIMEOUT_S: Final = 30.0
 
 
 class AnswerBody(BodyBuffer):
-    """Reads a connection's body and breaks the connection where nothing comes.
+    """Reads the body of an answer and closes the connection on an idle timeout.
 
-    A target that hangs in the middle of an answer would hold its slot, and the
-    caller, for ever. The deadline of the call can't serve here: a large file
-    may rightly take longer, as long as its bytes keep coming.
+    A target that hangs in the middle of an answer would otherwise block its slot and
+    the caller indefinitely. The deadline of the call is no substitute: a large file
+    may take longer than that, as long as its bytes keep arriving.
     """
 
-    __slots__ = ("_connection", "_idle_limit_s", "_source")
+    __slots__ = ("_connection", "_idle_timeout_s", "_source")
 
     def __init__(
-        self, connection: ClientConnection, idle_limit_s: float = BODY_IDLE_LIMIT_S
+        self, connection: ClientConnection, idle_timeout_s: float = BODY_IDLE_TIMEOUT_S
     ) -> None:
         super().__init__()
         self._connection = connection
         self._source = connection.body
-        self._idle_limit_s = idle_limit_s
+        self._idle_timeout_s = idle_timeout_s
 
     @property
     def is_whole(self) -> bool:
@@ -39,23 +39,23 @@
 
     @property
     def is_empty(self) -> bool:
-        """Return whether the body is whole and nothing is left to read."""
+        """Return whether the body has arrived whole and has been read to its end."""
         return self._source.is_empty
 
     def read_nowait(self) -> bytes:
-        """Return the next part that is here already, or b""."""
+        """Return the next part that has already arrived, or b""."""
         return self._source.read_nowait()
 
     async def read(self) -> bytes:
-        """Return the next part, or raise where none comes in time."""
+        """Return the next part, or raise if none arrives within the idle timeout."""
         if part := self._source.read_nowait():
             return part
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(self._idle_limit_s, self._connection.close)
+        timer = loop.call_later(self._idle_timeout_s, self._connection.close)
         try:
             return await self._source.read()
         finally:
             timer.cancel()
 
 
-__all__ = ["BODY_IDLE_LIMIT_S", "AnswerBody"]
+__all__ = ["BODY_IDLE_TIMEOUT_S", "AnswerBody"]
--- a/packages/pepperstair-targets/pepperstair_targets/crashes.py
+++ b/packages/pepperstair-targets/pepperstair_targets/crashes.py
@@ -1,4 +1,4 @@
-"""Tells a target that has ended from one that broke a connection."""
+"""Distinguish a target that has exited from one that closed a connection."""
 
 from __future__ import annotations
 
@@ -13,69 +13,73 @@
 
 log = structlog.get_logger(__name__)
 
-# The connections of a process that ends close together, and are seen one by one.
-_CLOSING_S: Final = 0.002
-# A listener that outlives its target closes what it accepts.
-_HOLD_S: Final = 0.02
+# The connections of a process that exits close at the same time, but this daemon sees
+# them close one after another.
+_CLOSE_DELAY_S: Final = 0.002
+# A listener that outlives its target accepts connections and then closes them.
+_PROBE_HOLD_S: Final = 0.02
 
 
-class CrashWatch:
-    """The calls that one target is running, and whether it has ended under them.
+class CrashDetector:
+    """Tracks the running calls of one target and detects that it has exited.
 
-    `on_ended` is told of its end, with the fingerprints of what was running, and keeps
-    further calls from the target.
+    `on_exited` is called when it has, with the fingerprints of the calls that were
+    running. It must keep further calls away from the target.
     """
 
     def __init__(
-        self, pool: ConnectionPool, on_ended: Callable[[tuple[bytes, ...]], None]
+        self, pool: ConnectionPool, on_exited: Callable[[tuple[bytes, ...]], None]
     ) -> None:
         self._pool = pool
-        self._on_ended = on_ended
+        self._on_exited = on_exited
         self._running: set[TargetCall] = set()
-        self._cut: list[TargetCall] = []
-        self._checking: asyncio.Task[bool] | None = None
+        self._broken_calls: list[TargetCall] = []
+        self._check_task: asyncio.Task[bool] | None = None
 
     def begin(self, call: TargetCall) -> None:
-        """Take the start of a call."""
+        """Add a call that starts."""
         self._running.add(call)
 
     def end(self, call: TargetCall) -> None:
-        """Take the end of a call, however it ended."""
+        """Remove a call that has ended, with an answer or a failure."""
         self._running.remove(call)
 
-    def runs_any(self, is_wanted: Callable[[bytes], bool]) -> bool:
-        """Return whether a request with a wanted fingerprint is running."""
+    def is_any_running(self, is_wanted: Callable[[bytes], bool]) -> bool:
+        """Return whether a request is running whose fingerprint `is_wanted` accepts."""
         return any(is_wanted(call.fingerprint) for call in self._running)
 
-    async def has_ended(self, call: TargetCall) -> bool:
-        """Return whether the target is gone, after one of its calls was cut.
+    async def has_exited(self, call: TargetCall) -> bool:
+        """Return whether the target has exited, after its connection for a call broke.
 
-        Calls that are cut together wait for one look at the target, which goes on
-        where their callers leave.
+        Calls that break together share one probe of the target, which continues even
+        if their callers disconnect.
         """
-        self._cut.append(call)
-        if self._checking is None or self._checking.done():
-            checking = asyncio.get_running_loop().create_task(self._check())
-            self._checking = checking
-        return await asyncio.shield(self._checking)
+        self._broken_calls.append(call)
+        if self._check_task is None or self._check_task.done():
+            check_task = asyncio.get_running_loop().create_task(self._check())
+            self._check_task = check_task
+        return await asyncio.shield(self._check_task)
 
     async def _check(self) -> bool:
-        await asyncio.sleep(_CLOSING_S)
-        has_ended = await self._look()
-        cut, self._cut = self._cut, []
-        if has_ended:
+        await asyncio.sleep(_CLOSE_DELAY_S)
+        has_exited = await self._probe()
+        broken_calls, self._broken_calls = self._broken_calls, []
+        if has_exited:
             sent = [call for call in self._running if call.is_sent]
-            fingerprints = {call.fingerprint for call in (*cut, *sent)}
-            self._on_ended(tuple(sorted(fingerprints - {b""})))
-        return has_ended
+            fingerprints = {call.fingerprint for call in (*broken_calls, *sent)}
+            self._on_exited(tuple(sorted(fingerprints - {b""})))
+        return has_exited
 
-    async def _look(self) -> bool:
+    async def _probe(self) -> bool:
         is_other_running = any(call.is_connected for call in self._running)
-        if is_other_running and len(self._cut) == 1:
+        if is_other_running and len(self._broken_calls) == 1:
             return False
-        # Not trusted alone: a connection that went silent seems open until it is used.
-        seems_alive = is_other_running or self._pool.has_open
-        return await self._pool.is_refused(0.0 if seems_alive else _HOLD_S)
+        # An open connection alone is no proof: a silently lost connection appears open
+        # until it is used.
+        is_apparently_alive = is_other_running or self._pool.has_open
+        return await self._pool.is_target_gone(
+            0.0 if is_apparently_alive else _PROBE_HOLD_S
+        )
 
 
-__all__ = ["CrashWatch"]
+__all__ = ["CrashDetector"]
--- a/packages/pepperstair-targets/pepperstair_targets/ordered.py
+++ b/packages/pepperstair-targets/pepperstair_targets/ordered.py
@@ -1,4 +1,4 @@
-"""Announcements that may arrive late, twice or from an earlier start."""
+"""Order announcements that may be delayed, duplicated or from an earlier start."""
 
 from __future__ import annotations
 
@@ -15,20 +15,22 @@
 
 log = structlog.get_logger(__name__)
 
-# One target lives beside a daemon at a time; a delayed announcement of the last
-# dozens of them is more than ever comes.
+# Only one target runs next to a daemon at a time. Delayed announcements never come
+# from as many as the last 64 targets.
 N_DEPARTURES_MAX: Final = 64
-# How long an announcement may be delayed on its way; the platform speaks of seconds.
-HELD_UP_MAX_MS: Final = 30_000
-# Stands for the last of all sequence numbers: nothing of that start counts any more.
+# Maximum delay of an announcement in transit. The platform states that announcements
+# may be delayed by seconds.
+ANNOUNCEMENT_DELAY_MAX_MS: Final = 30_000
+# Sequence number of a departure after which every announcement of the same start is
+# ignored.
 LAST_SEQUENCE: Final = 2**63 - 1
 
 
 class Announcement(Struct, frozen=True):
-    """What a target says of itself, and its place among its announcements.
+    """An announced target with the position of the announcement in their order.
 
-    `start_ms` is when the target was started, in Unix milliseconds, 0 where that
-    is not told; `sequence` rises with each announcement since.
+    `start_ms` is when the target was started, in Unix milliseconds, or 0 if the target
+    does not report it. `sequence` increases with each announcement since then.
     """
 
     target: Target
@@ -36,15 +38,15 @@
     sequence: int
 
     @property
-    def place(self) -> tuple[int, int]:
-        """Return what orders the announcements of one target."""
+    def order_key(self) -> tuple[int, int]:
+        """Return the sort key of the announcements of one target."""
         return self.start_ms, self.sequence
 
 
 class Departure(Struct, frozen=True):
-    """That a target leaves, said at `noted_ms` in Unix milliseconds.
+    """The departure of a target, recorded at `noted_ms` in Unix milliseconds.
 
-    Its announcements up to this start and sequence count no more.
+    Announcements of the target up to this start and sequence are ignored.
     """
 
     name: str
@@ -53,22 +55,22 @@
     noted_ms: int
 
     @property
-    def place(self) -> tuple[int, int]:
-        """Return the place of the last announcement that counts no more."""
+    def order_key(self) -> tuple[int, int]:
+        """Return the sort key of the last announcement that is ignored."""
         return self.start_ms, self.sequence
 
 
 class OrderedAnnouncements:
-    """Takes the announcements for the one target of a VM in their true order.
+    """Applies the announcements of a VM's only target in the order they were sent.
 
-    An announcement can be held up for seconds. By then its sender may have
-    crashed and another target may have started at its address; a call sent to
-    the earlier one would reach the wrong process, or nobody.
+    An announcement can be delayed by seconds. By then its sender may have crashed and
+    another target may have started at its address; a call to the earlier target would
+    reach the wrong process, or none.
 
-    Where targets don't tell when they started, another name, or a count that
-    begins anew, is taken for the next target only after the one that is known was
-    silent for `silent_ms`, and a name that deregistered may come back after
-    `HELD_UP_MAX_MS`.
+    If targets don't report when they started, an announcement with another name or a
+    restarted sequence is accepted as that of a new target only after no announcement
+    of the known target has arrived for `silent_ms`. A name that deregistered is
+    accepted again after `ANNOUNCEMENT_DELAY_MAX_MS`.
     """
 
     def __init__(
@@ -87,13 +89,13 @@
         self._departures: dict[str, Departure] = {}
 
     def take(self, announcement: Announcement) -> bool:
-        """Take an announcement, and return whether it changed or renewed anything."""
+        """Apply an announcement unless outdated; return whether it was applied."""
         target = announcement.target
         if not self._is_newer(announcement):
             log.info(
                 Event.ANNOUNCEMENT_IGNORED,
                 target=target.name,
-                cause="older than what is known",
+                cause="older than the newest known announcement",
                 sequence=announcement.sequence,
             )
             return False
@@ -103,38 +105,39 @@
         self._newest = announcement
         self._newest_seen_ms = self._now_ms()
         if target.state is TargetState.DRAINING:
-            self._note_departure(target.name, *announcement.place)
+            self._record_departure(target.name, *announcement.order_key)
         self._registry.announce(target, self._newest_seen_ms)
         return True
 
     def leave(self, name: str) -> bool:
-        """Take the deregistration of a target; that of an earlier one changes nothing.
+        """Deregister a target and return whether it was registered.
 
-        It is remembered also where the target is not known: after a restart of
-        this daemon it may be the first that is heard of it, and what the target
-        said before can still arrive.
+        The deregistration of an earlier target has no effect on the current one. It is
+        recorded even if the target is unknown: after a restart of this daemon, it may
+        be the first message of the target, and announcements sent before it may still
+        arrive.
         """
         newest = self._newest
         is_newest = newest is not None and newest.target.name == name
         start_ms = newest.start_ms if is_newest else self._wall_ms()
-        self._note_departure(name, start_ms, LAST_SEQUENCE)
+        self._record_departure(name, start_ms, LAST_SEQUENCE)
         return is_newest and self._registry.leave(name)
 
     def departures(self) -> tuple[Departure, ...]:
-        """Return who has said that it leaves, the last one last."""
+        """Return the departures, the most recent one last."""
         return tuple(self._departures.values())
 
     def restore(self, departures: Iterable[Departure]) -> None:
-        """Take what an earlier process of this daemon has acknowledged."""
+        """Add the departures that an earlier process of this daemon acknowledged."""
         for departure in departures:
             known = self._departures.get(departure.name)
-            if known is None or known.place < departure.place:
+            if known is None or known.order_key < departure.order_key:
                 self._departures[departure.name] = departure
 
-    def _note_departure(self, name: str, start_ms: int, sequence: int) -> None:
+    def _record_departure(self, name: str, start_ms: int, sequence: int) -> None:
         known = self._departures.pop(name, None)
         departure = Departure(name, start_ms, sequence, self._wall_ms())
-        if known is not None and known.place > departure.place:
+        if known is not None and known.order_key > departure.order_key:
             departure = known
         self._departures[name] = departure
         if len(self._departures) > N_DEPARTURES_MAX:
@@ -152,21 +155,21 @@
         if name == newest.target.name and announcement.sequence > newest.sequence:
             return True
         is_other = name != newest.target.name or not announcement.start_ms
-        return is_other and self._has_ended(newest)
+        return is_other and self._is_gone(newest)
 
     def _has_departed(self, announcement: Announcement) -> bool:
-        """Return whether its sender has said that it leaves, after saying this."""
+        """Return whether the target sent its departure after this announcement."""
         departure = self._departures.get(announcement.target.name)
-        if departure is None or announcement.place > departure.place:
+        if departure is None or announcement.order_key > departure.order_key:
             return False
         age_ms = self._wall_ms() - departure.noted_ms
-        return bool(announcement.start_ms) or age_ms < HELD_UP_MAX_MS
+        return bool(announcement.start_ms) or age_ms < ANNOUNCEMENT_DELAY_MAX_MS
 
-    def _has_ended(self, newest: Announcement) -> bool:
-        """Return whether the target of now has left, or seems to have crashed.
+    def _is_gone(self, newest: Announcement) -> bool:
+        """Return whether the current target has deregistered or presumably crashed.
 
-        A delayed announcement of an earlier target would else put that in the place
-        of the one that lives, which refuses all calls that are meant for the other.
+        Without this check, a delayed announcement of an earlier target would replace
+        the running target, which refuses all calls addressed to the other.
         """
         departure = self._departures.get(newest.target.name)
         if departure is not None and departure.sequence == LAST_SEQUENCE:
@@ -175,7 +178,7 @@
 
 
 __all__ = [
-    "HELD_UP_MAX_MS",
+    "ANNOUNCEMENT_DELAY_MAX_MS",
     "LAST_SEQUENCE",
     "Announcement",
     "Departure",
--- a/packages/pepperstair-targets/pepperstair_targets/pool.py
+++ b/packages/pepperstair-targets/pepperstair_targets/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to one target."""
+"""A pool of persistent connections to one target."""
 
 from __future__ import annotations
 
@@ -16,25 +16,26 @@
 log = structlog.get_logger(__name__)
 
 CONNECT_TIMEOUT_S: Final = 1.0
-# A target on the own VM acknowledges within a millisecond; half a second leaves
-# room for a pause of it and is still short beside the deadline of a call.
+# A target on the same VM acknowledges within a millisecond. Half a second allows for
+# a pause of the target and is still short compared to the deadline of a call.
 UNACKNOWLEDGED_MS: Final = 500
-# A refusal from the own VM comes at once, also to a busy loop.
+# On the same VM, a connection is refused at once, even if the event loop is busy.
 _PROBE_TIMEOUT_S: Final = 0.1
-# A call that must not run twice is not sent on a connection that the target
-# may just be closing: its outcome would be unknown. Targets close theirs after
-# some seconds without use.
-FRESH_S: Final = 1.0
-# The target's timer and this one start at different moments.
+# Maximum idle time of a connection for a non-idempotent call. On a connection that the
+# target is just closing, the outcome of such a call would be unknown. Targets close
+# connections after some seconds without use.
+FRESH_IDLE_MAX_S: Final = 1.0
+# The idle timers of the target and of this daemon start at different moments.
 _CLOSE_MARGIN_S: Final = 1.0
 _IDLE_MAX_S: Final = 60.0
 
 
 class ConnectionPool:
-    """Connections to a target, reused where an answer was read to its end.
+    """Connections to a target, which are reused after an answer is read to its end.
 
-    A call opens a connection only when none is idle, and no more calls run than
-    the target takes connections: so the cap holds without counting those in use.
+    A call opens a connection only if none is idle, and the number of running calls
+    never exceeds the target's connection limit. So the limit holds without counting
+    the connections in use.
     """
 
     def __init__(self, address: str, n_connections_max: int) -> None:
@@ -45,38 +46,38 @@
 
     @property
     def has_open(self) -> bool:
-        """Return whether a kept connection is still open."""
+        """Return whether an idle connection is still open."""
         return any(not connection.is_closed for connection in self._idle)
 
     def take_idle(self, *, is_fresh_wanted: bool = False) -> ClientConnection | None:
-        """Return a kept connection that is still open, or None.
+        """Remove and return an idle connection that is still open, or None.
 
-        With `is_fresh_wanted` only one that was in use just now will do.
+        With `is_fresh_wanted`, it must have been in use within `FRESH_IDLE_MAX_S`.
         """
         now_s = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle[-1]
             idle_s = now_s - connection.idle_since_s
             if connection.is_reusable and idle_s <= _idle_max_s(connection):
-                if is_fresh_wanted and idle_s > FRESH_S:
+                if is_fresh_wanted and idle_s > FRESH_IDLE_MAX_S:
                     return None
                 return self._idle.pop()
             self._idle.pop().close()
         return None
 
     async def open(self) -> ClientConnection:
-        """Open a connection; a failure proves that nothing was sent."""
+        """Open a connection, or raise TARGET_UNREACHABLE as not run."""
         try:
             return await self._connect(CONNECT_TIMEOUT_S)
         except (OSError, TimeoutError) as error:
             failure = Failure(ErrorKind.TARGET_UNREACHABLE, str(error), run=Run.NO)
             raise PepperstairError(failure) from error
 
-    async def is_refused(self, hold_s: float) -> bool:
-        """Return whether nobody serves at the target's address any more.
+    async def is_target_gone(self, hold_s: float) -> bool:
+        """Return whether no process serves at the target's address any more.
 
-        A connection that opens instead, and stays open for `hold_s`, is kept for the
-        next call.
+        This opens a connection. If that stays open for `hold_s`, it is added to the
+        pool for the next call.
         """
         try:
             connection = await self._connect(_PROBE_TIMEOUT_S)
@@ -86,15 +87,15 @@
             log.info(Event.TARGET_PROBE_FAILED, cause=repr(error))
             return False
         await asyncio.sleep(hold_s)
-        is_refused = connection.is_closed
-        self.give_back(connection)
-        return is_refused
+        is_target_gone = connection.is_closed
+        self.release(connection)
+        return is_target_gone
 
-    def give_back(self, connection: ClientConnection) -> None:
-        """Keep a connection for the next call, if it may carry one.
+    def release(self, connection: ClientConnection) -> None:
+        """Return a connection to the pool, or close it if it can't be reused.
 
-        Closing one whose answer is not whole tells the target that nobody
-        waits for the rest.
+        Closing a connection before its answer is complete signals to the target that
+        the rest is not needed.
         """
         has_room = len(self._idle) < self._n_connections_max
         if connection.is_reusable and has_room and not self._is_closed:
@@ -103,14 +104,14 @@
         else:
             connection.close()
 
-    def limit(self, n_connections_max: int) -> None:
-        """Take a changed cap, closing idle connections that are over it."""
+    def set_connection_limit(self, n_connections_max: int) -> None:
+        """Change the connection limit and close the idle connections over it."""
         self._n_connections_max = n_connections_max
         while len(self._idle) > n_connections_max:
             self._idle.popleft().close()
 
     def close(self) -> None:
-        """Close the idle connections now and the others when they come back."""
+        """Close the idle connections now and the others when they are returned."""
         self._is_closed = True
         while self._idle:
             self._idle.pop().close()
@@ -123,7 +124,7 @@
 
 
 def _idle_max_s(connection: ClientConnection) -> float:
-    """Return for how long a connection may be kept without use."""
+    """Return how long a connection may be idle and still be reused."""
     if connection.keep_alive_s is None:
         return _IDLE_MAX_S
     return max(0.0, connection.keep_alive_s - _CLOSE_MARGIN_S)
--- a/packages/pepperstair-targets/pepperstair_targets/registry.py
+++ b/packages/pepperstair-targets/pepperstair_targets/registry.py
@@ -1,4 +1,4 @@
-"""The targets that announced themselves to this daemon, and their leases."""
+"""The registry of the targets announced to this daemon, and their leases."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class _Lease(Struct, frozen=True):
-    """A target and the time until which its announcement holds."""
+    """A target and the time at which its announcement expires."""
 
     target: Target
     expires_ms: int
@@ -33,14 +33,14 @@
         return tuple(lease.target for lease in self._leases.values())
 
     def get(self, name: str, now_ms: float) -> Target | None:
-        """Return the target with a name, if its lease holds."""
+        """Return the target of a name, or None if it has no valid lease."""
         lease = self._leases.get(name)
         if lease is None or lease.expires_ms <= now_ms:
             return None
         return lease.target
 
     def announce(self, target: Target, now_ms: int) -> None:
-        """Take an announcement or renew its lease."""
+        """Add or update a target and renew its lease."""
         lease = self._leases.get(target.name)
         known = None if lease is None else lease.target
         self._leases[target.name] = _Lease(target, now_ms + self.lease_ms)
@@ -51,7 +51,7 @@
         self.on_changed()
 
     def leave(self, name: str) -> bool:
-        """Remove a target, and say whether it was there."""
+        """Remove a target and return whether it was registered."""
         if self._leases.pop(name, None) is None:
             return False
         self.on_changed()
@@ -60,8 +60,8 @@
     def expire(self, now_ms: int) -> None:
         """Remove the targets whose lease has lapsed.
 
-        A target that crashed never says that it leaves; callers would see its
-        refused connections for as long as its announcement stood.
+        A crashed target does not deregister. Without expiry, callers would keep getting
+        refused connections for as long as it stayed registered.
         """
         lapsed = list(self._iter_lapsed(now_ms))
         for name in lapsed:
--- a/packages/pepperstair-targets/pepperstair_targets/runner.py
+++ b/packages/pepperstair-targets/pepperstair_targets/runner.py
@@ -1,4 +1,4 @@
-"""Runs calls on the targets of this VM."""
+"""Run calls on the targets of this VM."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from pepperstair_core.wire import CallHead
 from pepperstair_http import BodyBuffer, StreamedResponse
 
-from .crashes import CrashWatch
+from .crashes import CrashDetector
 from .pool import ConnectionPool
 from .registry import TargetRegistry
-from .slots import SlotGate
+from .slots import SlotQueue
 from .target_call import DEFAULT_OPTIONS, TargetCall, TargetOptions
 
 log = structlog.get_logger(__name__)
@@ -29,13 +29,15 @@
 
 _OWN_PREFIX: Final = b"pepperstair-"
 
-_REFUSALS_LOGGED_EVERY_MS: Final = 1000
+_REFUSAL_LOG_INTERVAL_MS: Final = 1000
 _FAILED_STATUS: Final = 500
 
-# What a call ends with where its target ends under it.
-_CUT_KINDS: Final = frozenset({ErrorKind.TARGET_FAILED, ErrorKind.TARGET_UNREACHABLE})
-# A call that may not run beside another suspect may come back when that is over.
-_ISOLATED_RETRY_MS: Final = 200
+# Failure kinds of a call whose target exits while running it.
+_EXIT_FAILURE_KINDS: Final = frozenset(
+    {ErrorKind.TARGET_FAILED, ErrorKind.TARGET_UNREACHABLE}
+)
+# Retry time of a suspect call that is refused while another suspect is running.
+_SUSPECT_RETRY_AFTER_MS: Final = 200
 
 PolicyOf = Callable[[str, Target], Policy]
 
@@ -48,12 +50,14 @@
         target: Target,
         now_ms: Callable[[], float],
         on_refused: Callable[[str, Refused], None],
-        on_ended: Callable[[LocalTarget, tuple[bytes, ...]], None],
+        on_exited: Callable[[LocalTarget, tuple[bytes, ...]], None],
     ) -> None:
         self.target = target
         self.pool = ConnectionPool(target.address, target.n_connections_max)
-        self.crashes = CrashWatch(self.pool, lambda cut: on_ended(self, cut))
-        self.gate = SlotGate(
+        self.crashes = CrashDetector(
+            self.pool, lambda running: on_exited(self, running)
+        )
+        self.slots = SlotQueue(
             _n_running_max(target),
             now_ms,
             lambda refused: on_refused(target.name, refused),
@@ -61,28 +65,28 @@
 
     @property
     def n_in_flight(self) -> int:
-        """Return the calls that the target is running now."""
-        return self.gate.admission.n_in_flight
+        """Return the number of calls that the target is running."""
+        return self.slots.admission.n_in_flight
 
-    def take(self, target: Target) -> None:
-        """Take a renewed announcement at the same address."""
+    def update(self, target: Target) -> None:
+        """Apply a renewed announcement with the same address."""
         self.target = target
-        self.gate.resize(_n_running_max(target))
-        self.pool.limit(target.n_connections_max)
+        self.slots.resize(_n_running_max(target))
+        self.pool.set_connection_limit(target.n_connections_max)
 
     def retire(self) -> None:
-        """Refuse what waits and keep no connections; what runs goes on."""
-        self.gate.drain()
+        """Refuse the waiting calls and close idle connections; running calls go on."""
+        self.slots.drain()
         self.pool.close()
 
 
 class TargetRunner:
-    """Carries a call to a local target, within the target's slots.
+    """Runs calls on local targets, within the slots of each target.
 
-    `policy_of` gives the policy of a customer for a target. Refusals go to the
-    decision log, at most one a second for each target, with their count. `on_crash` is
-    told of a target that has ended and of the fingerprints of what it was running,
-    `on_cleared` of a suspected request that was answered.
+    `policy_of` returns the policy of a customer for a target. Refusals are added to the
+    decision log, at most one entry a second for each target, with their count.
+    `on_crash` is called with a target that has exited and the fingerprints of the calls
+    it was running, `on_cleared` with the record of a suspect request that was answered.
     """
 
     def __init__(
@@ -102,7 +106,7 @@
         self._now_ms = now_ms
         self._policy_of = policy_of
         self._decisions = decisions
-        self._locals: dict[str, LocalTarget] = {}
+        self._local_targets: dict[str, LocalTarget] = {}
         self._retired: list[LocalTarget] = []
         self._refusals: dict[str, tuple[float, int]] = {}
         self.is_draining = False
@@ -111,83 +115,83 @@
 
     @property
     def n_in_flight(self) -> int:
-        """Return the calls that targets are running now."""
+        """Return the number of calls that targets are running."""
         return sum(local.n_in_flight for local in self._iter_all())
 
     def loads(self) -> tuple[tuple[str, int, int], ...]:
-        """Return name, calls in flight and calls waiting of each target."""
+        """Return name, number of running and number of waiting calls of each target."""
         return tuple(
-            (name, local.n_in_flight, local.gate.admission.n_queued)
-            for name, local in self._locals.items()
+            (name, local.n_in_flight, local.slots.admission.n_queued)
+            for name, local in self._local_targets.items()
         )
 
     def load_of(self, name: str) -> Load | None:
-        """Return the exact load of a target of this VM."""
-        local = self._locals.get(name)
+        """Return the exact load of a target of this VM, None before its first call."""
+        local = self._local_targets.get(name)
         if local is None:
             return None
-        return Load(local.n_in_flight, local.gate.admission.n_queued)
+        return Load(local.n_in_flight, local.slots.admission.n_queued)
 
     async def run(self, head: CallHead, body: BodyBuffer) -> StreamedResponse:
         """Run a call and return its answer, or raise PepperstairError."""
         start_ms = self._now_ms()
         self._refuse_quarantined(head, start_ms)
         deadline_ms = start_ms + head.time_left_ms
-        target = self._usable_target(head, start_ms)
-        local = self._local(target)
+        target = self._require_target(head, start_ms)
+        local = self._ensure_local_target(target)
         policy = self._policy_of(head.customer, target)
         try:
-            await local.gate.enter(head, deadline_ms, policy.n_queued_max)
+            await local.slots.acquire(head, deadline_ms, policy.n_queued_max)
         except PepperstairError as error:
             _log_refused(head, local, error.failure, self._now_ms() - start_ms)
             raise
         admitted_ms = self._now_ms()
         try:
-            self._screen(head, local, admitted_ms)
+            self._refuse_unsafe(head, local, admitted_ms)
         except PepperstairError:
-            local.gate.leave(head, None)
+            local.slots.release(head, None)
             raise
 
-        def leave(was_sent: bool) -> None:
+        def free_slot(was_sent: bool) -> None:
             service_ms = self._now_ms() - admitted_ms if was_sent else None
-            local.gate.leave(head, service_ms)
+            local.slots.release(head, service_ms)
 
-        call = TargetCall(local.pool, head, body, leave, self._options)
+        call = TargetCall(local.pool, head, body, free_slot, self._options)
         local.crashes.begin(call)
         try:
             response = await call.run(deadline_ms - admitted_ms)
         except PepperstairError as error:
             failure = error.failure
-            if call.is_sent and failure.kind in _CUT_KINDS:
-                failure = await self._explain_cut(local, call, failure)
+            if call.is_sent and failure.kind in _EXIT_FAILURE_KINDS:
+                failure = await self._classify_broken_call(local, call, failure)
             _log_failed(head, failure, self._now_ms() - admitted_ms)
             raise PepperstairError(failure) from error
         finally:
             local.crashes.end(call)
-        self._take_answer(head, response)
-        return _with_wait(response, int(admitted_ms - start_ms))
+        self._record_answer(head, response)
+        return _with_wait_header(response, int(admitted_ms - start_ms))
 
     def follow_registry(self) -> None:
-        """Take what changed in the announced targets.
+        """Apply the changes of the target registry.
 
-        Calls that wait for a target that is leaving are refused at once, as
-        not run, so that their daemons can still send them to another one.
+        Calls that wait for a draining target are refused at once as not run, so that
+        the daemons that sent them still have time to retry them on another target.
         """
-        for name, local in list(self._locals.items()):
+        for name, local in list(self._local_targets.items()):
             target = self._registry.get(name, self._now_ms())
             if target is None or target.address != local.target.address:
                 self._retire(name)
             elif target.state is TargetState.DRAINING or self.is_draining:
-                local.gate.drain()
+                local.slots.drain()
             else:
-                local.take(target)
+                local.update(target)
         self._retired = [local for local in self._retired if local.n_in_flight]
 
     def drain(self) -> None:
         """Refuse new and waiting calls from now on; those in flight go on."""
         self.is_draining = True
-        for local in self._locals.values():
-            local.gate.drain()
+        for local in self._local_targets.values():
+            local.slots.drain()
 
     def close(self) -> None:
         """Close the idle connections to every target."""
@@ -199,56 +203,62 @@
         if refusal is not None:
             raise PepperstairError(refusal)
 
-    def _screen(self, head: CallHead, local: LocalTarget, now_ms: float) -> None:
-        """Refuse a call that may not run now, beside what the target is running."""
+    def _refuse_unsafe(self, head: CallHead, local: LocalTarget, now_ms: float) -> None:
+        """Refuse a call that is quarantined or must not run next to those running.
+
+        Suspects run one at a time.
+        """
         self._refuse_quarantined(head, now_ms)
 
         def is_suspect(fingerprint: bytes) -> bool:
             standing = self._quarantine.standing(fingerprint, now_ms)
             return standing is not Standing.TRUSTED
 
-        if is_suspect(head.fingerprint) and local.crashes.runs_any(is_suspect):
-            detail = f"{head.target}, it runs another suspect"
-            failure = Failure(ErrorKind.OVERLOADED, detail, _ISOLATED_RETRY_MS, Run.NO)
+        if is_suspect(head.fingerprint) and local.crashes.is_any_running(is_suspect):
+            detail = f"{head.target}, another suspect request is running"
+            failure = Failure(
+                ErrorKind.OVERLOADED, detail, _SUSPECT_RETRY_AFTER_MS, Run.NO
+            )
             raise PepperstairError(failure)
 
-    async def _explain_cut(
+    async def _classify_broken_call(
         self, local: LocalTarget, call: TargetCall, failure: Failure
     ) -> Failure:
-        """Return why a call was cut.
+        """Return the failure of a call whose connection broke.
 
-        A target that leaves may end with calls that it has not finished.
+        A draining or deregistered target may exit with unfinished calls; that is no
+        crash.
         """
         target = self._registry.get(local.target.name, self._now_ms())
         if target is None or target.state is TargetState.DRAINING:
             return failure
-        if not await local.crashes.has_ended(call):
+        if not await local.crashes.has_exited(call):
             return failure
         return Failure(ErrorKind.TARGET_CRASHED, failure.detail)
 
-    def _on_ended(self, local: LocalTarget, cut: tuple[bytes, ...]) -> None:
-        """Tell what may have crashed a target, and that it takes no more calls.
+    def _on_exited(self, local: LocalTarget, running: tuple[bytes, ...]) -> None:
+        """Report the calls that may have crashed a target and deregister the target.
 
-        Every other daemon would learn of its end by failed calls of its own.
+        Otherwise every other daemon would detect the exit only by its own failed calls.
         """
         self.n_crashes += 1
-        self.on_crash(local.target.name, cut)
+        self.on_crash(local.target.name, running)
         self._registry.leave(local.target.name)
 
-    def _take_answer(self, head: CallHead, response: StreamedResponse) -> None:
+    def _record_answer(self, head: CallHead, response: StreamedResponse) -> None:
         if response.status >= _FAILED_STATUS or not response.body.is_whole:
             return
         cleared = self._quarantine.record_answer(head.fingerprint)
         if cleared is not None:
             self.on_cleared(cleared)
 
-    def _usable_target(self, head: CallHead, now_ms: float) -> Target:
-        """Return the target of a call, or refuse it as not run.
+    def _require_target(self, head: CallHead, now_ms: float) -> Target:
+        """Return the target of a call, or refuse the call as not run.
 
-        The refusal is given here, beside the target: a daemon that has not
-        heard of the draining yet learns of it without any work being lost. The
-        lease is looked at for each call, as this process may have been paused
-        while it lapsed and not have run its timers yet.
+        This daemon refuses on behalf of a draining target, so that a daemon that does
+        not know of the draining yet is notified without any work being lost. The lease
+        is checked for each call, as this process may have been paused while the lease
+        lapsed and its timers may not have run yet.
         """
         if self.is_draining:
             raise _not_run(ErrorKind.DRAINING, head.target)
@@ -261,28 +271,28 @@
             raise _not_run(ErrorKind.DEADLINE_BEFORE_RUN, head.target)
         return target
 
-    def _local(self, target: Target) -> LocalTarget:
-        local = self._locals.get(target.name)
+    def _ensure_local_target(self, target: Target) -> LocalTarget:
+        local = self._local_targets.get(target.name)
         if local is None:
-            local = LocalTarget(target, self._now_ms, self._on_refused, self._on_ended)
-            self._locals[target.name] = local
+            local = LocalTarget(target, self._now_ms, self._on_refused, self._on_exited)
+            self._local_targets[target.name] = local
         return local
 
     def _retire(self, name: str) -> None:
-        local = self._locals.pop(name)
+        local = self._local_targets.pop(name)
         local.retire()
         self._refusals.pop(name, None)
         self._retired.append(local)
 
     def _iter_all(self) -> Iterator[LocalTarget]:
-        yield from self._locals.values()
+        yield from self._local_targets.values()
         yield from self._retired
 
     def _on_refused(self, name: str, refused: Refused) -> None:
         self.n_refused += 1
         now_ms = self._now_ms()
         logged_ms, n_refused = self._refusals.get(name, (float("-inf"), 0))
-        if now_ms - logged_ms < _REFUSALS_LOGGED_EVERY_MS:
+        if now_ms - logged_ms < _REFUSAL_LOG_INTERVAL_MS:
             self._refusals[name] = (logged_ms, n_refused + 1)
             return
         self._refusals[name] = (now_ms, 0)
@@ -309,8 +319,8 @@
         time_left_ms=head.time_left_ms,
         wanted_left_ms=head.wanted_left_ms,
         n_in_flight=local.n_in_flight,
-        n_slots=local.gate.admission.n_slots,
-        n_queued=local.gate.admission.n_queued,
+        n_slots=local.slots.admission.n_slots,
+        n_queued=local.slots.admission.n_queued,
         retry_after_ms=failure.retry_after_ms,
     )
 
@@ -330,13 +340,14 @@
     )
 
 
-def _with_wait(response: StreamedResponse, waited_ms: int) -> StreamedResponse:
-    """Say how long the call waited for its slot, where it did.
+def _with_wait_header(response: StreamedResponse, waited_ms: int) -> StreamedResponse:
+    """Return the response with a header that states how long the call waited.
 
-    The choice of targets needs the target's own speed: under overload the wait
-    depends on a call's priority and would hide which target is slow. What the
-    target itself says under such a name is left out, or it could tell a caller
-    that its request did not run.
+    The header is omitted if the call did not wait for its slot. Target choice needs
+    the latency without the wait: under overload the wait depends on the priority of
+    the call and would hide which target is slow. Headers with the `pepperstair-` prefix
+    that the target itself sends are removed, as they could wrongly state that the
+    request did not run.
     """
     headers = response.headers
     if any(name.startswith(_OWN_PREFIX) for name, _ in headers):
--- a/packages/pepperstair-targets/pepperstair_targets/slots.py
+++ b/packages/pepperstair-targets/pepperstair_targets/slots.py
@@ -1,4 +1,4 @@
-"""Waiting for a slot of one target."""
+"""Wait for a slot of a target, as its admission decides."""
 
 from __future__ import annotations
 
@@ -26,17 +26,16 @@
 
 
 class _Waiter(Struct, frozen=True):
-    """A call that waits and the future that gets its verdict."""
+    """A waiting call and the future that receives its verdict."""
 
     call: WaitingCall
     verdict: asyncio.Future[Verdict]
 
 
-class SlotGate:
-    """Carries out the verdicts of a target's admission.
+class SlotQueue:
+    """Lets calls wait for the slots of one target and applies admission verdicts.
 
-    `on_refused` is told of every refusal, `now_ms` is a clock that never goes
-    back.
+    `on_refused` is called with every refusal. `now_ms` is a monotonic clock.
     """
 
     def __init__(
@@ -52,10 +51,10 @@
         self._waiters: dict[int, _Waiter] = {}
         self._expiry_timer: asyncio.TimerHandle | None = None
 
-    async def enter(
+    async def acquire(
         self, head: CallHead, deadline_ms: float, n_queued_max: int
     ) -> None:
-        """Return once the call holds a slot, or raise that it does not run."""
+        """Return when the call holds a slot, or raise if it is refused as not run."""
         arrived_ms = self._now_ms()
         call = WaitingCall(
             next(self._tickets),
@@ -70,44 +69,46 @@
         verdicts = self.admission.arrive(call, call.arrived_ms)
         for verdict in verdicts:
             if verdict.ticket == call.ticket:
-                self._report(verdict)
+                self._report_refusal(verdict)
                 _raise_if_refused(verdict, head.target)
                 return
         waiter = _Waiter(call, asyncio.get_running_loop().create_future())
         self._waiters[call.ticket] = waiter
-        self._carry_out(verdicts)
+        self._apply_verdicts(verdicts)
         await self._wait(waiter, head.target)
 
-    def leave(self, head: CallHead, service_ms: float | None) -> None:
-        """Free the slot of a call that has ended."""
+    def release(self, head: CallHead, service_ms: float | None) -> None:
+        """Free the slot of a call that has ended.
+
+        `service_ms` is how long it ran, None if it was not sent to the target.
+        """
         verdicts = self.admission.finish(
             head.customer, head.priority, service_ms, self._now_ms(), head.route
         )
-        self._carry_out(verdicts)
+        self._apply_verdicts(verdicts)
 
     def resize(self, n_slots: int) -> None:
-        """Take a changed number of slots."""
+        """Change the number of slots."""
         if n_slots != self.admission.n_slots:
-            self._carry_out(self.admission.resize(n_slots, self._now_ms()))
+            self._apply_verdicts(self.admission.resize(n_slots, self._now_ms()))
 
     def drain(self) -> None:
-        """Refuse every waiting call; those in flight go on."""
-        self._carry_out(self.admission.drain())
+        """Refuse every waiting call; running calls go on."""
+        self._apply_verdicts(self.admission.drain())
 
     async def _wait(self, waiter: _Waiter, target: str) -> None:
         try:
             verdict = await waiter.verdict
         except asyncio.CancelledError:
-            self._give_up(waiter)
+            self._withdraw(waiter)
             raise
         _raise_if_refused(verdict, target)
 
-    def _give_up(self, waiter: _Waiter) -> None:
-        """Take out a call whose caller has left.
+    def _withdraw(self, waiter: _Waiter) -> None:
+        """Remove a call whose caller has disconnected.
 
-        Its slot may have been granted in the same instant; without giving that
-        back the target would lose it for good, and after some such callers run
-        nothing at all.
+        Its slot may have been granted at the same moment. If that slot were not freed,
+        the target would lose it permanently, and after some such calls run nothing.
         """
         call = waiter.call
         if self._waiters.pop(call.ticket, None) is not None:
@@ -117,24 +118,24 @@
             waiter.verdict.result(), Admitted
         )
         if is_granted:
-            self._carry_out(self._free(call))
+            self._apply_verdicts(self._free_slot(call))
 
-    def _carry_out(self, verdicts: Iterable[Verdict]) -> None:
+    def _apply_verdicts(self, verdicts: Iterable[Verdict]) -> None:
         pending = deque(verdicts)
         while pending:
             verdict = pending.popleft()
-            self._report(verdict)
+            self._report_refusal(verdict)
             waiter = self._waiters.pop(verdict.ticket)
             if not waiter.verdict.done():
                 waiter.verdict.set_result(verdict)
             elif isinstance(verdict, Admitted):
-                pending.extend(self._free(waiter.call))
+                pending.extend(self._free_slot(waiter.call))
         self._restart_timer()
 
-    def _free(self, call: WaitingCall) -> list[Verdict]:
+    def _free_slot(self, call: WaitingCall) -> list[Verdict]:
         return self.admission.finish(call.customer, call.priority, None, self._now_ms())
 
-    def _report(self, verdict: Verdict) -> None:
+    def _report_refusal(self, verdict: Verdict) -> None:
         if isinstance(verdict, Refused):
             self._on_refused(verdict)
 
@@ -150,7 +151,7 @@
 
     def _expire(self) -> None:
         self._expiry_timer = None
-        self._carry_out(self.admission.expire(self._now_ms()))
+        self._apply_verdicts(self.admission.expire(self._now_ms()))
 
 
 def _wanted_ms(head: CallHead, now_ms: float) -> float:
@@ -160,10 +161,10 @@
 def _raise_if_refused(verdict: Verdict, target: str) -> None:
     if isinstance(verdict, Admitted):
         return
-    is_leaving = verdict.cause is RefusalCause.DRAINING
-    kind = ErrorKind.DRAINING if is_leaving else ErrorKind.OVERLOADED
+    is_draining = verdict.cause is RefusalCause.DRAINING
+    kind = ErrorKind.DRAINING if is_draining else ErrorKind.OVERLOADED
     detail = f"{target}, {verdict.cause.value}"
     raise PepperstairError(Failure(kind, detail, verdict.retry_after_ms, Run.NO))
 
 
-__all__ = ["SlotGate"]
+__all__ = ["SlotQueue"]
--- a/packages/pepperstair-targets/pepperstair_targets/target_call.py
+++ b/packages/pepperstair-targets/pepperstair_targets/target_call.py
@@ -1,4 +1,4 @@
-"""One call on one target: sent, answered, ended."""
+"""Send one call to one target and receive its answer."""
 
 from __future__ import annotations
 
@@ -29,45 +29,45 @@
 log = structlog.get_logger(__name__)
 
 _MISDIRECTED: Final = 421
-# A kept connection that its target has dropped already says so within the time of
-# one round trip on the own VM, some tenths of a millisecond, here with room for a busy
-# loop. What breaks later may have been at work on the request: with 20 ms, requests
-# that took a target 10 to 20 ms were still sent twice (tests/soak, seed 23).
-DROPPED_MS: Final = 5
+# A reused connection that its target had already closed fails within one round trip on
+# the same VM, some tenths of a millisecond; the limit allows for a busy event loop. If
+# it fails later, the target may have been running the request: with a limit of 20 ms,
+# requests that took a target 10 to 20 ms were still sent twice (tests/soak, seed 23).
+STALE_CONNECTION_MAX_MS: Final = 5
 
 
 class TargetOptions(Struct, frozen=True):
-    """How every call on the targets of this VM is made.
+    """The options of all calls on the targets of this VM.
 
-    Answers of up to `n_gathered_max_bytes` are read whole before any of it is
-    passed on, so that a cut one can still be fetched from another target.
+    Answers of up to `n_buffered_max_bytes` are buffered whole before any part is
+    relayed, so that a call with a cut answer can still be retried on another target.
     """
 
     names: HeaderNames = PRODUCT_HEADERS
-    n_gathered_max_bytes: int = 0
+    n_buffered_max_bytes: int = 0
 
 
 DEFAULT_OPTIONS: Final = TargetOptions()
 
 
 class TargetCall:
-    """Holds a slot from its start to `end`, which may be called repeatedly.
+    """A call that holds a slot until `end`, which may be called repeatedly.
 
-    `on_end` frees the slot; it is told whether the request was sent at all.
+    `on_end` frees the slot. It is called with whether the request was sent.
     """
 
     __slots__ = (
         "_body",
         "_body_error",
+        "_body_sender",
         "_connection",
         "_head",
         "_is_ended",
         "_is_sent",
-        "_n_gathered_max_bytes",
+        "_n_buffered_max_bytes",
         "_names",
         "_on_end",
         "_pool",
-        "_sender",
         "_sent_s",
     )
 
@@ -80,13 +80,13 @@
         options: TargetOptions = DEFAULT_OPTIONS,
     ) -> None:
         self._names = options.names
-        self._n_gathered_max_bytes = options.n_gathered_max_bytes
+        self._n_buffered_max_bytes = options.n_buffered_max_bytes
         self._pool = pool
         self._head = head
         self._body = body
         self._on_end = on_end
         self._connection: ClientConnection | None = None
-        self._sender: asyncio.Task[None] | None = None
+        self._body_sender: asyncio.Task[None] | None = None
         self._body_error: Exception | None = None
         self._is_sent = False
         self._sent_s = 0.0
@@ -94,12 +94,12 @@
 
     @property
     def fingerprint(self) -> bytes:
-        """Return what is equal for requests that ask for the same work."""
+        """Return the fingerprint, which is equal for requests for the same work."""
         return self._head.fingerprint
 
     @property
     def is_sent(self) -> bool:
-        """Return whether the target may have begun to run the request."""
+        """Return whether the target may have started to run the request."""
         return self._is_sent
 
     @property
@@ -108,26 +108,27 @@
         return self._connection is not None and not self._connection.is_closed
 
     async def run(self, time_left_ms: float) -> StreamedResponse:
-        """Return the answer, whose end frees the slot, or raise."""
+        """Return the answer, whose end frees the slot, or raise PepperstairError."""
         try:
             async with asyncio.timeout(max(0.0, time_left_ms) / 1000):
                 answer = await self._exchange(time_left_ms)
-                self._check(answer)
-                await self._gather(answer)
+                self._check_answer(answer)
+                await self._buffer_answer(answer)
         except TimeoutError as error:
-            self._break()
-            raise self._timed_out() from error
+            self._abort()
+            raise self._timeout_error() from error
         except PepperstairError as error:
-            # A refusal ends as any whole answer does. Were its connection closed, a
-            # target that turns away every second call would cost a new one for each:
-            # 1,500 of the 2,000 that one fleet opened in fifty seconds (from its log).
+            # A refusal is a whole answer, so its connection is reused. If it were
+            # closed, a target that refuses every second call would cost a new
+            # connection for each refusal: in one fleet, these were 1,500 of the 2,000
+            # connections opened in fifty seconds.
             if error.failure.kind is ErrorKind.TARGET_REFUSED:
                 self.end()
             else:
-                self._break()
+                self._abort()
             raise
         except BaseException:
-            self._break()
+            self._abort()
             raise
         body = self._connection.body
         if not body.is_whole:
@@ -135,49 +136,49 @@
         return StreamedResponse(answer.status, answer.headers, body, self.end)
 
     def end(self) -> None:
-        """Free the slot; a connection whose answer is not whole is closed."""
+        """Free the slot, and close the connection if the answer is not complete."""
         if self._is_ended:
             return
         self._is_ended = True
-        if self._sender is not None:
-            self._sender.cancel()
+        if self._body_sender is not None:
+            self._body_sender.cancel()
         if self._connection is not None:
-            self._pool.give_back(self._connection)
+            self._pool.release(self._connection)
         self._on_end(self._is_sent)
 
     async def _exchange(self, time_left_ms: float) -> ResponseHead:
         headers = self._headers(time_left_ms)
-        kept = self._pool.take_idle(is_fresh_wanted=not self._may_run_twice)
+        kept = self._pool.take_idle(is_fresh_wanted=not self._is_idempotent)
         if kept is not None:
             try:
                 return await self._send(kept, headers)
             except (ConnectionLostError, ConnectionResetError) as error:
                 if not self._may_resend():
-                    raise self._cut(error) from error
+                    raise self._lost_connection_error(error) from error
                 kept.close()
-        # A kept connection that the target closed in this instant is the
-        # target's usual idle timeout, so an idempotent call gets a new one.
-        # Any other call may have run before the connection closed.
+        # The target closed the reused connection by its usual idle timeout just as the
+        # request was sent, so an idempotent call is sent again on a new connection. A
+        # non-idempotent call may have run before the connection closed.
         fresh = await self._pool.open()
         try:
             return await self._send(fresh, headers)
         except (ConnectionLostError, ConnectionResetError) as error:
-            raise self._cut(error) from error
+            raise self._lost_connection_error(error) from error
 
     def _headers(self, time_left_ms: float) -> Headers:
-        """Return the request's headers with what the target is to be told."""
+        """Return the request's headers, extended by the timeout and expected target."""
         names = self._names
         added = [(names.timeout_ms, b"%d" % max(1, time_left_ms))]
         if names.expected_target:
             added.append((names.expected_target, self._head.target.encode()))
         return (*self._head.headers, *added)
 
-    def _check(self, answer: ResponseHead) -> None:
-        """Raise where the answer says that the request was not run, or is no answer.
+    def _check_answer(self, answer: ResponseHead) -> None:
+        """Raise if the answer states that the request did not run, or is invalid.
 
-        An address may have gone to another target, which says so; what comes
-        without the target's signature, or in an encoding that nobody asked for,
-        is not what the target made.
+        Another target that has taken over the address answers 421 without a signature.
+        A successful answer without the target's signature, or with a content encoding
+        that was not requested, was not made by the target.
         """
         names = self._names
         if not names.signature:
@@ -191,33 +192,33 @@
             raise PepperstairError(failure)
         is_encoded = bool(header_value(answer.headers, b"content-encoding"))
         if answer.status < 300 and (is_encoded or not is_signed):
-            detail = "an answer that is not the target's own"
+            detail = "the answer is unsigned or has an unexpected content encoding"
             raise PepperstairError(Failure(ErrorKind.TARGET_FAILED, detail))
 
-    async def _gather(self, answer: ResponseHead) -> None:
-        """Wait for the whole of an answer that is small enough to hold."""
+    async def _buffer_answer(self, answer: ResponseHead) -> None:
+        """Buffer an answer of up to `n_buffered_max_bytes` whole."""
         try:
-            await self._connection.body.gather(self._n_gathered_max_bytes)
+            await self._connection.body.gather(self._n_buffered_max_bytes)
         except ConnectionLostError as error:
-            raise self._cut(error) from error
+            raise self._lost_connection_error(error) from error
 
     @property
-    def _may_run_twice(self) -> bool:
+    def _is_idempotent(self) -> bool:
         return self._head.is_idempotent
 
     def _may_resend(self) -> bool:
-        """Return whether a kept connection broke before its request was worked on.
+        """Return whether a reused connection broke before its request was run.
 
-        A target that loses its answers breaks its connections too. Sent again here,
-        the request would run twice, and neither the attempts of its route nor the
-        retry budget would count it. One would notice a service that is given more
-        work, just while its answers get lost, than the budget allows.
+        A target that loses its answers breaks connections too. If the request were sent
+        again here, it would run twice, and neither the route's attempts nor the retry
+        budget would count it: a service whose answers get lost would be given more work
+        than the budget allows.
         """
         if not self._is_sent:
             return True
-        lasted_s = asyncio.get_running_loop().time() - self._sent_s
-        is_dropped = lasted_s * 1000 <= DROPPED_MS
-        return is_dropped and self._may_run_twice and not self._head.has_body
+        elapsed_s = asyncio.get_running_loop().time() - self._sent_s
+        is_stale = elapsed_s * 1000 <= STALE_CONNECTION_MAX_MS
+        return is_stale and self._is_idempotent and not self._head.has_body
 
     async def _send(
         self, connection: ClientConnection, headers: Headers
@@ -232,14 +233,14 @@
         self._sent_s = asyncio.get_running_loop().time()
         if body is None:
             loop = asyncio.get_running_loop()
-            self._sender = loop.create_task(self._send_body(connection))
+            self._body_sender = loop.create_task(self._send_body(connection))
         return await connection.read_head()
 
     async def _send_body(self, connection: ClientConnection) -> None:
-        """Send the request's body beside waiting for the answer.
+        """Send the request's body while waiting for the answer.
 
-        A target may answer before it has read the whole body; waiting for the
-        body first would make both sides wait for each other.
+        A target may answer before it has read the whole body. Sending the whole body
+        before reading the answer could then deadlock both sides.
         """
         try:
             while part := await self._body.read():
@@ -249,7 +250,7 @@
             self._body_error = error
             connection.close()
 
-    def _cut(self, error: Exception) -> PepperstairError:
+    def _lost_connection_error(self, error: Exception) -> PepperstairError:
         if isinstance(self._body_error, PepperstairError):
             failure = self._body_error.failure
             return PepperstairError(
@@ -260,19 +261,19 @@
             return PepperstairError(failure)
         return PepperstairError(Failure(ErrorKind.TARGET_FAILED, str(error)))
 
-    def _timed_out(self) -> PepperstairError:
+    def _timeout_error(self) -> PepperstairError:
         kind = ErrorKind.TIMEOUT if self._is_sent else ErrorKind.DEADLINE_BEFORE_RUN
         return PepperstairError(Failure(kind, self._head.target))
 
-    def _break(self) -> None:
-        """Close the connection, which tells the target to stop working."""
+    def _abort(self) -> None:
+        """Close the connection, which signals the target to stop its work."""
         if self._connection is not None:
             self._connection.close()
         self.end()
 
 
 def _whole_body(head: CallHead, body: BodyBuffer) -> bytes | None:
-    """Return the body where all of it is here, so that one write is enough."""
+    """Return the body if it has arrived whole, so that one write is enough."""
     if not head.has_body:
         return b""
     if not body.is_whole:
--- a/tests/test_call_failures.py
+++ b/tests/test_call_failures.py
@@ -113,7 +113,7 @@
     not be called `not run`, and an idempotent one gets a new connection.
     """
     # However slow this machine is.
-    monkeypatch.setattr(target_call, "DROPPED_MS", 10_000)
+    monkeypatch.setattr(target_call, "STALE_CONNECTION_MAX_MS", 10_000)
 
     async def once(target, writer, head):
         if target.writers.index(writer) == 0 and len(target.heads) > 1:
@@ -140,7 +140,7 @@
 
     async def lose_the_second(target, writer, head):
         if len(target.heads) > 1:
-            await asyncio.sleep(2 * target_call.DROPPED_MS / 1000)
+            await asyncio.sleep(2 * target_call.STALE_CONNECTION_MAX_MS / 1000)
             writer.transport.abort()
         else:
             writer.write(http(b"ok"))
--- a/tests/test_ordered_announcements.py
+++ b/tests/test_ordered_announcements.py
@@ -4,7 +4,7 @@
 
 from pepperstair_core.members import Target, TargetState
 from pepperstair_targets import (
-    HELD_UP_MAX_MS,
+    ANNOUNCEMENT_DELAY_MAX_MS,
     Announcement,
     Departure,
     OrderedAnnouncements,
@@ -151,7 +151,7 @@
     fixture = Fixture()
     fixture.take("i-1", 0, 5)
     fixture.announcements.leave("i-1")
-    fixture.wall_ms += HELD_UP_MAX_MS - 1
+    fixture.wall_ms += ANNOUNCEMENT_DELAY_MAX_MS - 1
     assert not fixture.take("i-1", 0, 6)
     fixture.wall_ms += 1
     assert fixture.take("i-1", 0, 1)
