--- a/packages/pepperstair-targets/pepperstair_targets/ordered.py
+++ b/packages/pepperstair-targets/pepperstair_targets/ordered.py
@@ -95,7 +95,7 @@
             log.info(
                 Event.ANNOUNCEMENT_IGNORED,
                 target=target.name,
-                cause="older than the newest known announcement",
+                cause="a newer announcement or departure is known",
                 sequence=announcement.sequence,
             )
             return False
--- a/tests/call_mesh.py
+++ b/tests/call_mesh.py
@@ -1,4 +1,4 @@
-"""A proxy, runners and targets in one process, over real loopback HTTP."""
+"""A proxy, runners and targets in one process that communicate over loopback HTTP."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def http(body: bytes = b"", status: str = "200 OK", length: int | None = None) -> bytes:
-    """Return the bytes of an answer, which may state a false length."""
+    """Return the bytes of an HTTP answer, whose stated length may be wrong."""
     n_bytes = len(body) if length is None else length
     return f"HTTP/1.1 {status}\r\ncontent-length: {n_bytes}\r\n\r\n".encode() + body
 
@@ -43,26 +43,27 @@
 
 
 class RawTarget:
-    """A target that answers with any bytes and records what it got."""
+    """A target that answers with arbitrary bytes and records its requests."""
 
     def __init__(self, name: str, answer: Answer) -> None:
         self.name = name
         self.answer = answer
         self.heads: list[bytes] = []
         self.n_closed = 0
-        # Set where a listener in front of the target outlives it.
+        # Whether the target has crashed while the listener in front of it still accepts
+        # connections.
         self.is_down = False
         self.writers: list[asyncio.StreamWriter] = []
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> str:
-        """Start and return the address."""
+        """Start to listen and return the address."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
         return f"127.0.0.1:{port}"
 
     async def close(self) -> None:
-        """Stop listening and drop every connection."""
+        """Stop listening and abort every connection."""
         self._server.close()
         for writer in self.writers:
             writer.transport.abort()
@@ -98,7 +99,7 @@
 
 @dataclass
 class Node:
-    """A VM with one target and the runner beside it."""
+    """A VM with one target and its runner."""
 
     runner: TargetRunner
     registry: TargetRegistry
@@ -106,7 +107,7 @@
 
 
 class Mesh:
-    """One route to one service whose targets stand on VMs of their own."""
+    """One route to one service with each target on a separate VM."""
 
     def __init__(
         self,
@@ -141,7 +142,7 @@
         self.address = ("127.0.0.1", 0)
 
     def now_ms(self) -> float:
-        """Return the time, moved on by the length of simulated pauses."""
+        """Return the monotonic time plus the length of simulated pauses."""
         return time.monotonic() * 1000 + self.skew_ms
 
     async def __aenter__(self) -> Mesh:
@@ -156,7 +157,7 @@
         self.server.close()
 
     async def add(self, name: str, answer: Answer = answer_ok, n_slots: int = 2):
-        """Start a target on a VM of its own and announce it."""
+        """Start a target on a separate VM and announce it."""
         raw = RawTarget(name, answer)
         address = await raw.listen()
         self.raw[name] = raw
@@ -190,7 +191,10 @@
             fetcher.close()
 
     def endpoints(self) -> tuple[Endpoint, ...]:
-        """Return every target, as gossip that is behind would."""
+        """Return every target as last announced, regardless of its lease.
+
+        Outdated membership gossip would return the same.
+        """
         return tuple(
             Endpoint(name, "z", "127.0.0.1:1", node.target, self.policy)
             for name, node in self.nodes.items()
@@ -234,11 +238,11 @@
 
 
 def run_of(response: Response) -> tuple[int, str]:
-    """Return status and what the answer says of whether the request ran."""
+    """Return the status and the value of the `pepperstair-run` header."""
     return response.status, header_value(response.headers, b"pepperstair-run").decode()
 
 
 def retry_after_ms(response: Response) -> int:
-    """Return when the answer says to come back, 0 where it does not."""
+    """Return the retry time that the answer states, 0 if it states none."""
     value = header_value(response.headers, b"pepperstair-retry-after-ms")
     return int(value or 0)
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves, which may be anything."""
+"""Tests of valid and malformed target announcements."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def announce(body: bytes, name: str = "ledger-1"):
-    """Take an announcement at an empty registry."""
+    """Handle an announcement with an empty registry."""
     return handle_announcement(TargetRegistry(6000), {}, name, body, 0)
 
 
@@ -19,6 +19,6 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"\xff", b"[]", b"{", b"[" * 60_000])
-def test_bytes_that_can_not_be_read_announce_no_target(body):
-    """Guards against an announcement that fails inside the daemon."""
+def test_malformed_announcement_is_rejected(body):
+    """Guards against a malformed announcement that raises inside the daemon."""
     assert announce(body).is_err()
--- a/tests/test_attempt_ends.py
+++ b/tests/test_attempt_ends.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of its target."""
+"""Tests how the end of an attempt counts for its target."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pepperstair_core.calls import EndKind
 from pepperstair_core.errors import ErrorKind, Failure
 from tests.call_mesh import Mesh
-from tests.test_call_failures import never, on_loop
+from tests.test_call_failures import never_answer, on_loop
 
 
 @pytest.mark.parametrize(
@@ -27,11 +27,11 @@
         (ErrorKind.CANCELLED, True, EndKind.ABANDONED),
     ],
 )
-def test_failures_are_told_apart(kind, is_full_timeout, expected):
+def test_failures_are_classified(kind, is_full_timeout, expected):
     assert classify_failure(Failure(kind), is_full_timeout) is expected
 
 
-def test_answers_are_told_apart():
+def test_answers_are_classified():
     assert classify_answer(200, True) is EndKind.GOOD
     assert classify_answer(404, True) is EndKind.GOOD
     assert classify_answer(200, False) is EndKind.ERROR
@@ -39,7 +39,7 @@
     assert classify_answer(503, True) is EndKind.REFUSED
 
 
-def test_only_what_reached_a_target_counts_as_arrived():
+def test_only_delivered_calls_may_have_reached_a_target():
     assert not may_have_reached_target(Failure(ErrorKind.OVERLOADED))
     assert not may_have_reached_target(Failure(ErrorKind.TARGET_UNREACHABLE))
     assert may_have_reached_target(Failure(ErrorKind.TARGET_REFUSED))
@@ -47,15 +47,15 @@
 
 
 @on_loop
-async def test_hanging_target_is_ejected_by_callers_that_are_a_little_less_patient():
-    """A target hangs; callers state a millisecond less than the route allows.
+async def test_hanging_target_is_ejected_by_callers_with_a_slightly_shorter_timeout():
+    """A target hangs, and callers state a timeout just below that of the route.
 
-    Taken for impatient ones, they would never get it ejected.
+    If these timeouts counted as short ones, the target would never be ejected.
     """
     async with Mesh(timeout_ms=100) as mesh:
-        hanging = await mesh.add("a", never)
+        hanging = await mesh.add("a", never_answer)
         await mesh.add("b")
-        patience = ((b"pepperstair-timeout-ms", b"95"),)
+        headers = ((b"pepperstair-timeout-ms", b"95"),)
         for _ in range(30):
-            await mesh.call(headers=patience)
+            await mesh.call(headers=headers)
         assert len(hanging.heads) <= 6
--- a/tests/test_call_failures.py
+++ b/tests/test_call_failures.py
@@ -1,4 +1,4 @@
-"""Calls through proxy and runner while targets, callers or leases fail."""
+"""Tests of calls through proxy and runner while targets, callers or leases fail."""
 
 from __future__ import annotations
 
@@ -25,28 +25,28 @@
     seen,
 )
 
-BIG = bytes(200_000)
+LARGE_BODY = bytes(200_000)
 
 
-async def never(target, writer, head):
-    """Keep the caller waiting."""
+async def never_answer(target, writer, head):
+    """Never answer."""
     await asyncio.Event().wait()
 
 
 async def cut_before_head(target, writer, head):
-    """Break the connection instead of answering."""
+    """Abort the connection instead of answering."""
     writer.transport.abort()
 
 
 async def cut_body(target, writer, head):
-    """Send half of the answer that was stated."""
+    """Send half of the stated content length and close the connection."""
     writer.write(http(b"half", length=8))
     await writer.drain()
     writer.close()
 
 
-def answering(data: bytes):
-    """Return an answer of fixed bytes."""
+def answering_with(data: bytes):
+    """Return an answer function that sends fixed bytes."""
 
     async def answer(target, writer, head):
         writer.write(data)
@@ -55,7 +55,7 @@
 
 
 def on_loop(test):
-    """Run a test on its own loop, which must not take long."""
+    """Run a test on its own event loop, for at most 15 s."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
@@ -65,11 +65,11 @@
 
 
 @on_loop
-async def test_cut_answer_is_never_taken_for_a_whole_one():
-    """A target dies in the middle of its answer.
+async def test_cut_answer_is_never_relayed_as_a_whole_one():
+    """A target crashes in the middle of its answer.
 
-    Passed on as if it were whole, half a music pack would be saved as the
-    whole one.
+    If the part were relayed as whole, half a music pack would be saved as the whole
+    one.
     """
 
     async with Mesh(is_idempotent=True) as mesh:
@@ -84,11 +84,11 @@
 
 @pytest.mark.parametrize("is_idempotent", [False, True])
 @on_loop
-async def test_lost_answer_is_asked_again_only_where_that_is_safe(is_idempotent):
-    """A target breaks the connection after it got the request.
+async def test_call_with_a_lost_answer_is_retried_only_if_idempotent(is_idempotent):
+    """A target breaks the connection after it received the request.
 
-    It may have run it. A booking sent again could be charged twice; reading a
-    schedule again does no harm.
+    It may have run the request. A booking that is retried could be charged twice;
+    reading a schedule again is harmless.
     """
 
     async with Mesh(is_idempotent=is_idempotent) as mesh:
@@ -104,25 +104,25 @@
 
 @pytest.mark.parametrize("is_idempotent", [False, True])
 @on_loop
-async def test_kept_connection_that_the_target_drops_on_the_next_request(
+async def test_idle_connection_that_the_target_closes_on_the_next_request(
     is_idempotent, monkeypatch
 ):
     """A target closes an idle connection just as the next request is sent.
 
-    Nobody can tell whether it read the request, so a non-idempotent one must
-    not be called `not run`, and an idempotent one gets a new connection.
+    Whether it read the request is unknown, so a non-idempotent one must not be
+    reported as not run, and an idempotent one is sent on a new connection.
     """
-    # However slow this machine is.
+    # Raised so that the test also passes on a slow machine.
     monkeypatch.setattr(target_call, "STALE_CONNECTION_MAX_MS", 10_000)
 
-    async def once(target, writer, head):
+    async def close_on_second_request(target, writer, head):
         if target.writers.index(writer) == 0 and len(target.heads) > 1:
             writer.transport.abort()
         else:
             writer.write(http(b"ok"))
 
     async with Mesh(is_idempotent=is_idempotent) as mesh:
-        raw = await mesh.add("a", once)
+        raw = await mesh.add("a", close_on_second_request)
         assert run_of(await mesh.call("GET")) == (200, "yes")
         expected = (200, "yes") if is_idempotent else (502, "unknown")
         assert run_of(await mesh.call("GET")) == expected
@@ -131,14 +131,14 @@
 
 @on_loop
 async def test_target_that_worked_on_a_request_does_not_get_it_twice_for_one_attempt():
-    """A target runs a request on a kept connection and then loses the answer.
+    """A target runs a request on a reused connection and then loses the answer.
 
-    Sent once more on a new connection it would run a second time, which neither the
-    route's attempts nor the retry budget count; a service whose answers are lost
-    would get twice the work.
+    If the request were sent again on a new connection, it would run a second time,
+    which neither the route's attempts nor the retry budget count; a service whose
+    answers are lost would get twice the work.
     """
 
-    async def lose_the_second(target, writer, head):
+    async def lose_second_answer(target, writer, head):
         if len(target.heads) > 1:
             await asyncio.sleep(2 * target_call.STALE_CONNECTION_MAX_MS / 1000)
             writer.transport.abort()
@@ -146,15 +146,15 @@
             writer.write(http(b"ok"))
 
     async with Mesh(is_idempotent=True) as mesh:
-        raw = await mesh.add("a", lose_the_second)
+        raw = await mesh.add("a", lose_second_answer)
         assert run_of(await mesh.call("GET")) == (200, "yes")
         assert run_of(await mesh.call("GET")) == (502, "unknown")
         assert len(raw.heads) == 2
 
 
 @on_loop
-async def test_target_restarted_between_calls_costs_no_call():
-    """A target restarts on its address while its connections are idle."""
+async def test_target_restarted_between_calls_fails_no_call():
+    """A target restarts at the same address while its connections are idle."""
 
     async with Mesh() as mesh:
         raw = await mesh.add("a")
@@ -166,11 +166,11 @@
 
 
 @on_loop
-async def test_unreachable_target_is_passed_over_and_named_not_run():
-    """A target's process is gone while its lease still holds.
+async def test_call_to_an_unreachable_target_is_retried_or_reported_as_not_run():
+    """A target's process has exited while its lease is still valid.
 
-    The first caller after that would get an error for a call that can safely
-    go to another target, and with no other would not know that it did not run.
+    Otherwise, the next caller would get an error for a call that can safely be retried
+    on another target, and without another target would not know that it did not run.
     """
 
     async with Mesh() as mesh:
@@ -187,35 +187,35 @@
 
 
 @on_loop
-async def test_caller_that_leaves_frees_the_slot_and_tells_the_target():
-    """A member closes the app while the target works on the request.
+async def test_disconnected_caller_frees_the_slot_and_cancels_the_request():
+    """A caller disconnects while the target is running its request.
 
-    The slot would stay taken for an answer that nobody reads; after a few such
-    callers the target would serve nobody.
+    Otherwise, the slot would stay occupied for an answer that nobody reads; after a few
+    such callers, the target would serve no request.
     """
 
     async with Mesh() as mesh:
-        raw = await mesh.add("a", never, n_slots=1)
+        raw = await mesh.add("a", never_answer, n_slots=1)
         leaving = asyncio.ensure_future(mesh.call())
         await seen(lambda: raw.heads)
         waiting = asyncio.ensure_future(mesh.call())
-        admission = mesh.nodes["a"].runner.loads
-        await seen(lambda: admission() == (("a", 1, 1),))
+        loads = mesh.nodes["a"].runner.loads
+        await seen(lambda: loads() == (("a", 1, 1),))
         waiting.cancel()
-        await seen(lambda: admission() == (("a", 1, 0),))
+        await seen(lambda: loads() == (("a", 1, 0),))
         leaving.cancel()
         await seen(lambda: raw.n_closed == 1)
-        await seen(lambda: admission() == (("a", 0, 0),))
+        await seen(lambda: loads() == (("a", 0, 0),))
         kinds = [outcome.error for outcome in mesh.outcomes]
         assert kinds == [ErrorKind.CANCELLED, ErrorKind.CANCELLED]
 
 
 @on_loop
 async def test_draining_target_finishes_its_call_and_refuses_the_others():
-    """A target announces that it leaves while one call runs and one waits.
+    """A target announces that it drains while one call runs and one waits.
 
-    The running one must be answered; the waiting one has not run, and its
-    caller must learn that at once, with time left to go elsewhere.
+    The running call must be answered. The waiting call must be refused as not run at
+    once, while its caller still has time to use another target.
     """
 
     finish = asyncio.Event()
@@ -239,11 +239,11 @@
 
 
 @on_loop
-async def test_daemon_that_is_stopped_refuses_new_calls_and_closes_its_connections():
-    """A daemon gets SIGTERM; its callers keep their connections open.
+async def test_stopping_daemon_refuses_new_calls_and_closes_its_connections():
+    """A daemon receives SIGTERM while its callers keep their connections open.
 
-    Without `connection: close` they would send the next request just as the
-    process exits, and could not know whether it ran.
+    Without `connection: close`, they could send the next request just as the process
+    exits, and would not know whether it ran.
     """
 
     async with Mesh() as mesh:
@@ -255,8 +255,8 @@
 
 
 @on_loop
-async def test_call_that_outlasts_the_stop_is_refused_before_it_runs():
-    """Guards against work that a stopping daemon begins and then has to give up."""
+async def test_call_that_would_outlast_the_stop_is_refused_before_it_runs():
+    """Guards against calls that a stopping daemon starts and can't finish."""
 
     async def answer_late(target, writer, head) -> None:
         await asyncio.sleep(0.2)
@@ -274,14 +274,14 @@
 
 @on_loop
 async def test_slow_target_times_out_as_unknown_and_waiting_calls_as_not_run():
-    """A target hangs. One call runs on it, one waits behind it.
+    """A target hangs while one call is running and one is waiting.
 
-    The one that waits has less time. It is refused when that is nearly over,
-    not when the slot in front of it is free.
+    The waiting call has a shorter timeout. It must be refused shortly before that
+    expires, not when the slot becomes free.
     """
 
     async with Mesh(timeout_ms=400) as mesh:
-        raw = await mesh.add("a", never, n_slots=1)
+        raw = await mesh.add("a", never_answer, n_slots=1)
         running = asyncio.ensure_future(mesh.call())
         await seen(lambda: raw.heads)
         waiting = await mesh.call(headers=((b"pepperstair-timeout-ms", b"100"),))
@@ -294,13 +294,14 @@
 
 
 @on_loop
-async def test_answer_that_stands_still_ends_by_its_idle_limit(monkeypatch):
-    """A target sends half of an answer and then hangs, its connection open.
+async def test_stalled_answer_ends_by_the_idle_timeout(monkeypatch):
+    """A target sends half of an answer and then hangs with its connection open.
 
-    Caller and slot would wait for ever, as the head came in time.
+    Without an idle timeout, the call would hold its caller and its slot indefinitely,
+    as the head arrived in time.
     """
 
-    async def half(target, writer, head):
+    async def send_half(target, writer, head):
         writer.write(http(b"half", length=8))
         await asyncio.Event().wait()
 
@@ -309,24 +310,24 @@
         "pepperstair_targets.answer_body.AnswerBody.__init__.__defaults__", defaults
     )
     async with Mesh() as mesh:
-        await mesh.add("a", half)
+        await mesh.add("a", send_half)
         with pytest.raises(ConnectionLostError):
             await mesh.call()
         await seen(lambda: mesh.nodes["a"].runner.n_in_flight == 0)
 
 
 @on_loop
-async def test_target_that_lies_about_its_health_is_ejected():
+async def test_failing_target_that_announces_itself_as_serving_is_ejected():
     """A target announces that it serves and answers every call with 500."""
 
     policy = Policy("p", "", ejection_errors=3)
     async with Mesh(policy) as mesh:
         broken = http(b"", "500 Internal Server Error")
-        lying = await mesh.add("a", answering(broken))
+        failing = await mesh.add("a", answering_with(broken))
         await mesh.add("b")
         for _ in range(40):
             await mesh.call()
-        assert len(lying.heads) == 3
+        assert len(failing.heads) == 3
         ejected = [
             decision
             for decision in mesh.decisions.find("a")
@@ -336,15 +337,15 @@
 
 
 @on_loop
-async def test_target_cannot_say_that_a_call_did_not_run():
+async def test_target_cannot_state_that_a_call_did_not_run():
     """A target answers with headers that only daemons may set.
 
-    A caller that believed its `no` would send a booking again.
+    A caller that relied on the target's `no` would retry a booking that ran.
     """
 
     async with Mesh() as mesh:
         data = b"HTTP/1.1 200 OK\r\npepperstair-run: no\r\ncontent-length: 0\r\n\r\n"
-        await mesh.add("a", answering(data))
+        await mesh.add("a", answering_with(data))
         response = await mesh.call()
         names = [name for name, _ in response.headers]
         assert run_of(response) == (200, "yes")
@@ -353,10 +354,10 @@
 
 @on_loop
 async def test_lease_that_lapsed_during_a_pause_refuses_calls_until_renewed():
-    """The daemon beside a target is paused for longer than the lease.
+    """The daemon of a target is paused for longer than the lease.
 
-    It wakes with calls in its buffers and has not run its timers yet. The
-    target may be gone for long; its address may belong to another one.
+    When it resumes, calls are in its buffers and its timers have not run yet. The
+    target may have exited long ago, and its address may belong to another target.
     """
 
     async with Mesh() as mesh:
@@ -369,14 +370,14 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "n_expected"), [(b"small", 1), (BIG, 0)], ids=["kept", "streamed"]
+    ("body", "n_expected"), [(b"small", 1), (LARGE_BODY, 0)], ids=["kept", "streamed"]
 )
 @on_loop
-async def test_body_is_sent_again_only_where_all_of_it_is_kept(body, n_expected):
-    """A target takes part of an upload and then breaks the connection.
+async def test_body_is_sent_again_only_if_it_is_buffered_whole(body, n_expected):
+    """A target receives part of an upload and then breaks the connection.
 
-    What was read of a large body is gone; sent again, the rest of it would
-    look like the whole.
+    The part of a large body that was already sent is no longer available. In a retry,
+    the remaining part would be mistaken for the whole body.
     """
 
     async def cut_early(target, writer, head):
@@ -391,14 +392,14 @@
 
 @pytest.mark.parametrize("n_bytes", [1_000, 600_000])
 @on_loop
-async def test_chunked_body_is_held_to_the_cap(n_bytes):
-    """A caller states no length and sends more than is allowed.
+async def test_size_limit_applies_to_chunked_bodies(n_bytes):
+    """A caller states no length and sends more than the limit.
 
-    Only counting what arrives can stop it from holding a slot for ever.
+    Only counting the received bytes prevents it from holding a slot indefinitely.
     """
 
     async with Mesh(body_max_bytes=500 if n_bytes < 5_000 else 500_000) as mesh:
-        await mesh.add("a", never)
+        await mesh.add("a", never_answer)
         reader, writer = await asyncio.open_connection(*mesh.address)
         writer.write(b"POST /x HTTP/1.1\r\nhost: a\r\n")
         writer.write(b"transfer-encoding: chunked\r\n\r\n")
@@ -422,7 +423,7 @@
 @on_loop
 async def test_answers_without_a_body(method, data, status, body):
     async with Mesh() as mesh:
-        await mesh.add("a", answering(data))
+        await mesh.add("a", answering_with(data))
         response = await mesh.call(method)
         assert run_of(response) == (status, "yes")
         assert response.body == body
@@ -431,7 +432,7 @@
 
 
 @on_loop
-async def test_answer_that_ends_with_its_connection_is_whole():
+async def test_answer_delimited_by_connection_close_is_whole():
     async def close_after(target, writer, head):
         writer.write(b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nwhole")
         await writer.drain()
@@ -443,8 +444,8 @@
 
 
 @on_loop
-async def test_deadline_is_passed_on_less_the_time_spent():
-    """A caller allows 500 ms; the target should not work for longer than that."""
+async def test_target_receives_the_remaining_timeout():
+    """A caller states a timeout of 500 ms; the target must get less than that."""
 
     async with Mesh() as mesh:
         raw = await mesh.add("a")
@@ -455,7 +456,7 @@
 
 
 @on_loop
-async def test_outcome_tells_route_status_and_retries():
+async def test_outcome_has_route_status_and_retries():
     async with Mesh(priority="urgent") as mesh:
         await mesh.add("a")
         await mesh.call()
@@ -476,7 +477,7 @@
     ],
 )
 @on_loop
-async def test_failed_call_tells_why_it_was_not_sent_again(
+async def test_failed_call_logs_why_it_was_not_retried(
     n_targets, is_idempotent, expected
 ):
     """Guards against failures whose logs show no reason for the missing retry."""
--- a/tests/test_last_hop.py
+++ b/tests/test_last_hop.py
@@ -1,4 +1,4 @@
-"""The last hop to a target that may answer wrongly, late, twice or not at all."""
+"""Tests of calls to targets that answer wrongly, late, twice or not at all."""
 
 from __future__ import annotations
 
@@ -27,29 +27,32 @@
 
 
 def answer_bytes(
-    body=b"ok", status="200 OK", request_id="call-1", signed=True
+    body=b"ok", status="200 OK", request_id="call-1", is_signed=True
 ) -> bytes:
-    """Return the bytes of an answer to a request with an id."""
+    """Return the bytes of an HTTP answer that echoes a request id."""
     head = f"HTTP/1.1 {status}\r\ncontent-length: {len(body)}\r\n"
     if request_id:
         head += f"x-request-id: {request_id}\r\n"
-    if signed:
+    if is_signed:
         head += "x-signature: s\r\n"
     return head.encode() + b"\r\n" + body
 
 
-def answering(*answers: bytes):
-    """Return an answer of fixed bytes, another one for each request."""
-    waiting = list(answers)
+def answering_with(*answers: bytes):
+    """Return an answer function that sends the given answers in turn.
+
+    The last one is repeated.
+    """
+    remaining = list(answers)
 
     async def answer(target, writer, head):
-        writer.write(waiting.pop(0) if len(waiting) > 1 else waiting[0])
+        writer.write(remaining.pop(0) if len(remaining) > 1 else remaining[0])
 
     return answer
 
 
-def in_mesh(**route):
-    """Run a test with a mesh whose targets speak the names above."""
+def with_mesh(**route):
+    """Run a test with a mesh that uses the header names above."""
 
     def decorate(test):
         async def scenario():
@@ -65,10 +68,10 @@
     return decorate
 
 
-@in_mesh()
-async def test_target_learns_who_calls_and_for_how_long(mesh):
-    """A caller states a false service and names another target."""
-    target = await mesh.add("a", answering(answer_bytes()))
+@with_mesh()
+async def test_target_receives_caller_service_and_remaining_timeout(mesh):
+    """A caller forges its service and the expected target in its headers."""
+    target = await mesh.add("a", answering_with(answer_bytes()))
     headers = (
         ID,
         (b"x-caller", b"forged"),
@@ -85,69 +88,69 @@
     assert head.lower().count(b"x-caller") == 1
 
 
-@in_mesh(is_idempotent=False)
+@with_mesh(is_idempotent=False)
 async def test_late_answer_to_an_earlier_request_is_skipped(mesh):
-    """A second answer to the last request arrives where the next is expected.
+    """A second answer to the previous request arrives in place of the next answer.
 
-    Passed on, one caller would get what was meant for another.
+    If it were relayed, a caller would receive the answer to another caller's request.
     """
     late = answer_bytes(b"other", request_id="call-0")
-    await mesh.add("a", answering(late + answer_bytes(b"mine")))
+    await mesh.add("a", answering_with(late + answer_bytes(b"mine")))
     response = await mesh.call(headers=(ID,))
     assert (response.status, response.body) == (200, b"mine")
 
 
-@in_mesh(is_idempotent=False)
-async def test_connection_with_surplus_bytes_is_not_used_again(mesh):
-    """A target sends one more answer behind a whole one."""
+@with_mesh(is_idempotent=False)
+async def test_connection_with_surplus_bytes_is_not_reused(mesh):
+    """A target sends an additional answer after a whole one."""
     surplus = answer_bytes() + answer_bytes(b"surplus")
-    target = await mesh.add("a", answering(surplus, answer_bytes(b"second")))
+    target = await mesh.add("a", answering_with(surplus, answer_bytes(b"second")))
     assert (await mesh.call(headers=(ID,))).body == b"ok"
     assert (await mesh.call(headers=(ID,))).body == b"second"
     assert len(target.writers) == 2
 
 
-@in_mesh(is_idempotent=False)
-async def test_refusal_of_the_target_promises_that_nothing_ran(mesh):
-    """The target refuses a booking and says that it did not run."""
+@with_mesh(is_idempotent=False)
+async def test_refusal_of_the_target_is_reported_as_not_run(mesh):
+    """The target refuses a booking and states that it did not run."""
     refusal = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n"
-    await mesh.add("a", answering(refusal))
+    await mesh.add("a", answering_with(refusal))
     response = await mesh.call(headers=(ID,))
     assert run_of(response) == (503, Run.NO)
     value = dict(response.headers)[b"retry-after"]
     assert b"." in value
 
 
-@in_mesh(is_idempotent=False)
-async def test_address_that_went_to_another_target_gets_nothing_done(mesh):
-    """A target ended and its address belongs to another one, which says so."""
+@with_mesh(is_idempotent=False)
+async def test_address_taken_over_by_another_target_is_reported_as_not_run(mesh):
+    """A target has exited, and the new target at its address answers 421."""
     other = b"HTTP/1.1 421 Misdirected\r\ncontent-length: 0\r\n\r\n"
-    await mesh.add("a", answering(other))
+    await mesh.add("a", answering_with(other))
     assert run_of(await mesh.call(headers=(ID,))) == (503, Run.NO)
 
 
 @pytest.mark.parametrize(
     "bad",
     [
-        answer_bytes(signed=False),
+        answer_bytes(is_signed=False),
         answer_bytes(request_id=""),
         answer_bytes().replace(b"\r\n\r\n", b"\r\ncontent-encoding: gzip\r\n\r\n"),
         answer_bytes(b"half")[:-2],
     ],
     ids=["unsigned", "without an id", "encoded", "cut"],
 )
-def test_success_that_is_not_the_targets_own_is_asked_for_elsewhere(bad):
-    """A target spoils its answer to a request that may run twice."""
+def test_invalid_success_of_an_idempotent_request_is_retried_elsewhere(bad):
+    """A target sends an invalid or cut answer to an idempotent request."""
 
-    async def cut(target, writer, head):
+    async def send_invalid_answer(target, writer, head):
         writer.write(bad)
         await writer.drain()
         writer.close()
 
     async def scenario():
         async with Mesh(options=OPTIONS, is_idempotent=True) as mesh:
-            bad_target = await mesh.add("a", cut)
-            await mesh.add("b", answering(answer_bytes(b"good")))
+            bad_target = await mesh.add("a", send_invalid_answer)
+            await mesh.add("b", answering_with(answer_bytes(b"good")))
             for _ in range(6):
                 response = await mesh.call(headers=(ID,))
                 assert (response.status, response.body) == (200, b"good")
@@ -156,53 +159,55 @@
     asyncio.run(asyncio.wait_for(scenario(), 15))
 
 
-@in_mesh(is_idempotent=False)
-async def test_spoilt_answer_to_a_booking_promises_nothing(mesh):
-    """The same for a request that must not run twice: nobody knows."""
-    await mesh.add("a", answering(answer_bytes(signed=False)))
-    await mesh.add("b", answering(answer_bytes(signed=False)))
+@with_mesh(is_idempotent=False)
+async def test_invalid_answer_to_a_booking_is_reported_as_unknown(mesh):
+    """After an invalid answer, it is unknown whether a non-idempotent request ran."""
+    await mesh.add("a", answering_with(answer_bytes(is_signed=False)))
+    await mesh.add("b", answering_with(answer_bytes(is_signed=False)))
     assert run_of(await mesh.call(headers=(ID,))) == (502, Run.UNKNOWN)
     assert sum(len(target.heads) for target in mesh.raw.values()) == 1
 
 
-@in_mesh(is_idempotent=True)
-async def test_failure_of_one_target_is_answered_by_another(mesh):
-    """A target fails some requests and is healthy otherwise."""
+@with_mesh(is_idempotent=True)
+async def test_failure_of_one_target_is_retried_on_another(mesh):
+    """A target fails some requests and is otherwise healthy."""
     failing = answer_bytes(b"broken", "500 Error")
-    await mesh.add("a", answering(failing))
-    await mesh.add("b", answering(answer_bytes(b"good")))
+    await mesh.add("a", answering_with(failing))
+    await mesh.add("b", answering_with(answer_bytes(b"good")))
     for _ in range(4):
         assert (await mesh.call(headers=(ID,))).body == b"good"
 
 
-@in_mesh(is_idempotent=True)
-async def test_failure_of_all_targets_reaches_the_caller_as_it_was(mesh):
+@with_mesh(is_idempotent=True)
+async def test_failure_of_all_targets_is_relayed_unchanged(mesh):
     failing = answer_bytes(b"broken", "500 Error")
-    await mesh.add("a", answering(failing))
-    await mesh.add("b", answering(failing))
+    await mesh.add("a", answering_with(failing))
+    await mesh.add("b", answering_with(failing))
     response = await mesh.call(headers=(ID,))
     assert (response.status, response.body) == (500, b"broken")
 
 
-@in_mesh(is_idempotent=True, n_attempts_max=1)
+@with_mesh(is_idempotent=True, n_attempts_max=1)
 async def test_route_with_one_attempt_is_sent_once(mesh):
-    """The operator allows one target for each request of the route."""
-    await mesh.add("a", answering(answer_bytes(b"broken", "500 Error")))
-    await mesh.add("b", answering(answer_bytes(b"broken", "500 Error")))
+    """The route allows one attempt for each request."""
+    await mesh.add("a", answering_with(answer_bytes(b"broken", "500 Error")))
+    await mesh.add("b", answering_with(answer_bytes(b"broken", "500 Error")))
     assert (await mesh.call(headers=(ID,))).status == 500
     assert sum(len(target.heads) for target in mesh.raw.values()) == 1
 
 
-def test_connection_on_which_a_call_was_refused_carries_the_next_one():
-    """An instance turns away every second call for some seconds.
+def test_connection_is_reused_after_a_refusal():
+    """A target refuses every second call for some seconds.
 
-    With a new connection for each of these, it would be busy with opening them.
+    With a new connection for each refusal, it would be busy opening connections.
     """
     refusal = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n"
 
     async def run() -> tuple[int, int]:
         async with Mesh(options=OPTIONS) as mesh:
-            target = await mesh.add("t1", answering(refusal, refusal, answer_bytes()))
+            target = await mesh.add(
+                "t1", answering_with(refusal, refusal, answer_bytes())
+            )
             for _ in range(3):
                 response = await mesh.call(headers=(ID,))
             return response.status, len(target.writers)
@@ -210,15 +215,15 @@
     assert asyncio.run(run()) == (200, 1)
 
 
-def test_instance_that_never_answers_costs_each_call_its_own_connection_only():
-    """A full instance says nothing, and nothing to what follows on that connection.
+def test_connection_is_not_reused_after_a_timeout():
+    """A full target never answers a request, nor any later one on that connection.
 
-    Sent on the same connection, the next call would wait for its whole timeout too,
-    though the instance has room for it by then.
+    On the same connection, the next call would wait for its whole timeout too, though
+    the target has free capacity by then.
     """
     names = replace(NAMES, is_id_echoed=False)
 
-    async def silent_first(target, writer, head) -> None:
+    async def hang_on_first_connection(target, writer, head) -> None:
         if len(target.writers) == 1:
             await asyncio.sleep(30)
         writer.write(answer_bytes())
@@ -226,7 +231,7 @@
     async def run() -> list[int]:
         options = TargetOptions(names, 262_144)
         async with Mesh(options=options, timeout_ms=300, n_attempts_max=1) as mesh:
-            await mesh.add("t1", silent_first)
+            await mesh.add("t1", hang_on_first_connection)
             return [(await mesh.call(headers=(ID,))).status for _ in range(3)]
 
     assert asyncio.run(run()) == [504, 200, 200]
--- a/tests/test_ordered_announcements.py
+++ b/tests/test_ordered_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements that come late, twice or from an earlier start of a target."""
+"""Tests of delayed, duplicate and outdated announcements."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Fixture:
-    """A registry and the announcements that go into it."""
+    """A registry and the ordered announcements that update it."""
 
     def __init__(self, silent_ms: int = 0) -> None:
         self.now_ms = 0
@@ -32,14 +32,15 @@
         return self.announcements.take(Announcement(target, start_ms, sequence))
 
     def states(self) -> dict[str, TargetState]:
-        """Return the state of each target in use."""
+        """Return the state of each registered target."""
         return {target.name: target.state for target in self.registry.targets()}
 
 
 def test_late_announcement_does_not_bring_a_draining_target_back():
-    """An instance says that it drains; what it said before arrives after that.
+    """A target announces that it drains; an earlier announcement arrives afterwards.
 
-    Taken in the order of arrival, it would get new work that it cuts by leaving.
+    If announcements were applied in order of arrival, the target would get new calls
+    and cut them off when it exits.
     """
     fixture = Fixture()
     fixture.take("i-1", 100, 5)
@@ -50,10 +51,10 @@
 
 
 def test_successor_at_the_address_replaces_the_crashed_one():
-    """An instance crashes; its last heartbeat is delayed and arrives after that of the
-    next one at the same address.
+    """A target crashes; its last heartbeat is delayed and arrives after the first one
+    of its successor at the same address.
 
-    Requests for the crashed one would reach a process that never heard of them.
+    Otherwise, calls to the crashed target would be sent to the successor.
     """
     fixture = Fixture()
     fixture.take("i-1", 100, 5)
@@ -64,7 +65,7 @@
     assert fixture.states() == {"i-2": SERVING}
 
 
-def test_instance_that_starts_again_under_its_name_counts_anew():
+def test_sequence_restarts_when_a_target_restarts_under_its_name():
     fixture = Fixture()
     fixture.take("i-1", 100, 50)
     assert fixture.take("i-1", 900, 1)
@@ -72,7 +73,7 @@
 
 
 def test_announcement_after_the_deregistration_changes_nothing():
-    """An instance deregisters; a delayed announcement of it arrives."""
+    """A target deregisters; a delayed announcement of it arrives afterwards."""
     fixture = Fixture()
     fixture.take("i-1", 100, 5)
     assert fixture.announcements.leave("i-1")
@@ -82,39 +83,40 @@
 
 
 def test_deregistration_that_comes_first_is_remembered():
-    """A daemon restarts, and the first it hears of its instance is the deregistration.
+    """A daemon restarts, and the first message of its target is the deregistration.
 
-    What the instance said before was held up and arrives two seconds later. Taken
-    for news, it would bring requests to an instance that is about to end.
+    An earlier announcement was delayed and arrives two seconds later. If it were
+    applied, calls would be sent to a target that is about to exit.
     """
     fixture = Fixture()
     fixture.announcements.leave("i-1")
     assert not fixture.take("i-1", 100, 6)
     assert not fixture.take("i-1", 0, 7)
     assert fixture.states() == {}
-    # Started again under its name, it is a new one.
+    # A target that restarts under the same name is a new one.
     assert fixture.take("i-1", WALL_MS + 1, 1)
     assert fixture.states() == {"i-1": SERVING}
 
 
-def test_delayed_announcement_does_not_replace_the_target_that_lives():
-    """Targets here don't tell when they started. One has crashed, another lives at
-    its address, and an announcement of the first arrives late.
+def test_delayed_announcement_does_not_replace_the_running_target():
+    """A target has crashed, its successor runs at the same address, and a delayed
+    announcement of the first one arrives. Targets don't report when they started.
 
-    The daemon would send calls for the first one, which the second refuses.
+    If it were applied, the daemon would send calls for the first target, which the
+    second one refuses.
     """
     fixture = Fixture(silent_ms=3000)
     fixture.take("i-2", 0, 1)
     fixture.now_ms = 1400
     assert not fixture.take("i-1", 0, 9)
     assert fixture.states() == {"i-2": SERVING}
-    # After a long silence the one that was known has ended.
+    # The known target counts as gone after no announcement for `silent_ms`.
     fixture.now_ms = 3000
     assert fixture.take("i-1", 0, 10)
     assert fixture.states() == {"i-1": SERVING}
 
 
-def test_successor_of_a_target_that_deregistered_is_taken_at_once():
+def test_successor_of_a_deregistered_target_is_accepted_at_once():
     fixture = Fixture(silent_ms=3000)
     fixture.take("i-1", 0, 1)
     fixture.announcements.leave("i-1")
@@ -122,8 +124,8 @@
     assert fixture.states() == {"i-2": SERVING}
 
 
-def test_restored_departure_does_not_lower_what_is_known():
-    """What was kept is read after the target has said more."""
+def test_restored_departure_does_not_replace_a_newer_one():
+    """The stored departures are read after a newer announcement has arrived."""
     fixture = Fixture()
     fixture.take("i-1", 100, 8, DRAINING)
     fixture.announcements.restore([Departure("i-1", 100, 4, 0)])
@@ -131,11 +133,11 @@
     assert fixture.states() == {"i-1": DRAINING}
 
 
-def test_target_that_starts_again_under_its_name_without_telling_when():
-    """An instance crashes and starts again under its name; its count starts anew, and
-    targets here don't tell when they started.
+def test_restarted_target_that_does_not_report_its_start_time_is_accepted():
+    """A target crashes and restarts under its name, so that its sequence restarts.
+    Targets don't report when they started.
 
-    Until its count has passed that of before, it would get no work.
+    Otherwise, it would get no calls until its sequence exceeded the earlier one.
     """
     fixture = Fixture(silent_ms=3000)
     fixture.take("i-1", 0, 50)
@@ -146,8 +148,8 @@
     assert fixture.take("i-1", 0, 3)
 
 
-def test_name_that_deregistered_long_ago_may_come_back_without_telling_when():
-    """What a target said can be held up for seconds, not for half a minute."""
+def test_deregistered_name_is_accepted_again_after_the_maximum_delay():
+    """Announcements can be delayed for seconds, not for half a minute."""
     fixture = Fixture()
     fixture.take("i-1", 0, 5)
     fixture.announcements.leave("i-1")
--- a/tests/test_target_crashes.py
+++ b/tests/test_target_crashes.py
@@ -1,4 +1,4 @@
-"""Targets that end while they run calls, and targets that only look like it."""
+"""Tests of targets that exit while running calls, or only appear to exit."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 async def crash(target, writer, head):
-    """End the target with every connection that it has."""
+    """Close the target's listener and abort all of its connections."""
     await asyncio.sleep(0.02)
     await target.close()
 
 
 async def crash_behind_listener(target, writer, head):
-    """End the target behind a listener that goes on accepting connections."""
+    """Stop the target behind a listener that keeps accepting connections."""
     await asyncio.sleep(0.02)
     target.is_down = True
     for each in target.writers:
@@ -27,19 +27,19 @@
 
 
 async def slow(target, writer, head):
-    """Answer after a while."""
+    """Answer after 50 ms."""
     await asyncio.sleep(0.05)
     await answer_ok(target, writer, head)
 
 
-async def cut(target, writer, head):
-    """Break one connection of a target that lives."""
+async def abort_connection(target, writer, head):
+    """Abort one connection of a target that keeps running."""
     await asyncio.sleep(0.02)
     writer.transport.abort()
 
 
 def answer_by_path(**answers):
-    """Return an answer that depends on the last part of the path."""
+    """Return an answer function that selects an answer by the last path segment."""
 
     async def answer(target, writer, head):
         path = head.split()[1].rsplit(b"/", 1)[1].decode()
@@ -48,8 +48,8 @@
     return answer
 
 
-def on_mesh(**route):
-    """Run a test on a mesh whose crashes are noted in `mesh.crashes`."""
+def with_mesh(**route):
+    """Run a test on a mesh that records reported crashes in `mesh.crashes`."""
 
     def decorate(test):
         def run():
@@ -67,17 +67,19 @@
 
 
 async def add(mesh, name, answer):
-    """Start a target whose crashes are noted."""
+    """Start a target whose reported crashes are recorded."""
     raw = await mesh.add(name, answer, n_slots=4)
     runner = mesh.nodes[name].runner
-    runner.on_crash = lambda target, cut: mesh.crashes.append((target, sorted(cut)))
+    runner.on_crash = lambda target, running: mesh.crashes.append(
+        (target, sorted(running))
+    )
     return raw
 
 
-@on_mesh()
-async def test_end_of_a_target_is_told_from_a_cut_connection(mesh):
+@with_mesh()
+async def test_exit_of_a_target_is_distinguished_from_a_broken_connection(mesh):
     """Guards against suspecting requests whose target lost a single connection."""
-    await add(mesh, "a", answer_by_path(cut=cut, crash=crash))
+    await add(mesh, "a", answer_by_path(cut=abort_connection, crash=crash))
     assert run_of(await mesh.call(path="/cut")) == (502, "unknown")
     assert mesh.outcomes[-1].error is ErrorKind.TARGET_FAILED
     assert mesh.crashes == []
@@ -87,18 +89,18 @@
     assert len(report[1]) == 1
 
 
-@on_mesh()
+@with_mesh()
 async def test_end_of_a_target_is_seen_through_a_listener_that_outlives_it(mesh):
-    """Guards against a crash that is taken for cut connections, again and again."""
+    """Guards against repeatedly mistaking a crash for broken connections."""
     await add(mesh, "a", answer_by_path(crash=crash_behind_listener))
     assert run_of(await mesh.call(path="/crash")) == (502, "unknown")
     assert mesh.outcomes[-1].error is ErrorKind.TARGET_CRASHED
     assert len(mesh.crashes) == 1
 
 
-@on_mesh()
-async def test_end_of_a_target_is_seen_beside_a_connection_that_went_silent(mesh):
-    """Guards against a dead connection that makes an ended target look alive."""
+@with_mesh()
+async def test_exit_of_a_target_is_detected_despite_a_silent_connection(mesh):
+    """Guards against a dead connection that makes an exited target look alive."""
 
     async def crash_but_one(target, writer, head):
         target._server.close()
@@ -115,10 +117,10 @@
     assert len(mesh.crashes) == 1
 
 
-@on_mesh()
-async def test_cut_beside_running_calls_costs_no_connection(mesh):
-    """Guards against a new connection for each answer that a target cuts off."""
-    raw = await add(mesh, "a", answer_by_path(slow=slow, cut=cut))
+@with_mesh()
+async def test_broken_call_next_to_running_calls_opens_no_connection(mesh):
+    """Guards against opening a connection for each answer that a target cuts off."""
+    raw = await add(mesh, "a", answer_by_path(slow=slow, cut=abort_connection))
     running = [asyncio.ensure_future(mesh.call(path="/slow")) for _ in range(2)]
     await seen(lambda: len(raw.heads) == 2)
     assert run_of(await mesh.call(path="/cut")) == (502, "unknown")
@@ -127,9 +129,9 @@
     assert mesh.crashes == []
 
 
-@on_mesh()
-async def test_crash_is_reported_though_the_caller_has_left(mesh):
-    """Guards against a crash that nobody is charged with."""
+@with_mesh()
+async def test_crash_is_reported_though_the_caller_has_disconnected(mesh):
+    """Guards against a crash that is attributed to no request."""
     raw = await add(mesh, "a", answer_by_path(crash=crash_behind_listener))
     calling = asyncio.ensure_future(mesh.call(path="/crash"))
     await seen(lambda: raw.is_down)
@@ -137,9 +139,9 @@
     await seen(lambda: mesh.crashes)
 
 
-@on_mesh()
-async def test_all_that_a_target_was_running_is_reported_once(mesh):
-    """Guards against a report for each cut call, each of them counted as a crash."""
+@with_mesh()
+async def test_all_running_calls_of_a_target_are_reported_once(mesh):
+    """Guards against a report for each broken call, each counted as a crash."""
 
     async def never(target, writer, head):
         await asyncio.Event().wait()
@@ -153,9 +155,9 @@
     assert kinds == [ErrorKind.TARGET_CRASHED] * len(paths)
 
 
-@on_mesh()
-async def test_target_that_leaves_and_ends_is_no_crash(mesh):
-    """Guards against blaming a request for the planned end of its target."""
+@with_mesh()
+async def test_exit_of_a_draining_target_is_no_crash(mesh):
+    """Guards against blaming a request for the planned exit of its target."""
     raw = await add(mesh, "a", answer_by_path(crash=crash))
     calling = asyncio.ensure_future(mesh.call(path="/crash"))
     await seen(lambda: raw.heads)
@@ -165,9 +167,9 @@
     assert mesh.crashes == []
 
 
-@on_mesh()
+@with_mesh()
 async def test_quarantined_request_is_refused_without_a_target(mesh):
-    """Guards against asking a target to run what is known to crash it."""
+    """Guards against sending a target a request that is known to crash targets."""
     raw = await add(mesh, "a", answer_ok)
     runner = mesh.nodes["a"].runner
     for quarantine in (runner._quarantine, mesh.context.quarantine):
@@ -183,9 +185,9 @@
         quarantine.record_answer(fingerprint)
 
 
-@on_mesh()
-async def test_suspects_do_not_run_side_by_side(mesh):
-    """Guards against a crash of which nobody can tell which suspect caused it."""
+@with_mesh()
+async def test_suspects_do_not_run_concurrently(mesh):
+    """Guards against a crash that can't be attributed to one of several suspects."""
     release = asyncio.Event()
 
     async def wait(target, writer, head):
