--- a/packages/pepperstair-targets/pepperstair_targets/announcements.py
+++ b/packages/pepperstair-targets/pepperstair_targets/announcements.py
@@ -24,13 +24,19 @@
     """The announcement of a target as sent in JSON."""
 
     address: Annotated[str, Option("Address and port that the target serves on.")]
-    labels: Annotated[dict[str, str], Option("Labels, over those of the VM.")] = {}
-    n_slots: Annotated[int, Option("Requests it runs at once.", minimum=1)] = 1
-    n_connections_max: Annotated[int, Option("Connections it takes.", minimum=1)] = 100
+    labels: Annotated[
+        dict[str, str], Option("Labels, which override those of the VM.")
+    ] = {}
+    n_slots: Annotated[
+        int, Option("Number of requests that it runs concurrently.", minimum=1)
+    ] = 1
+    n_connections_max: Annotated[
+        int, Option("Maximum number of connections.", minimum=1)
+    ] = 100
     state: Annotated[
         str,
         Option(
-            "Whether it takes work.",
+            "Whether it accepts requests.",
             choices=tuple(state.value for state in TargetState),
         ),
     ] = "serving"
--- a/packages/pepperstair-targets/pepperstair_targets/crashes.py
+++ b/packages/pepperstair-targets/pepperstair_targets/crashes.py
@@ -74,8 +74,8 @@
         is_other_running = any(call.is_connected for call in self._running)
         if is_other_running and len(self._broken_calls) == 1:
             return False
-        # An open connection alone is no proof: a silently lost connection appears open
-        # until it is used.
+        # An open connection alone does not prove that the target is running: a silently
+        # lost connection appears open until it is used.
         is_apparently_alive = is_other_running or self._pool.has_open
         return await self._pool.is_target_gone(
             0.0 if is_apparently_alive else _PROBE_HOLD_S
--- a/packages/pepperstair-targets/pepperstair_targets/slots.py
+++ b/packages/pepperstair-targets/pepperstair_targets/slots.py
@@ -69,7 +69,7 @@
         verdicts = self.admission.arrive(call, call.arrived_ms)
         for verdict in verdicts:
             if verdict.ticket == call.ticket:
-                self._report_refusal(verdict)
+                self._report_if_refused(verdict)
                 _raise_if_refused(verdict, head.target)
                 return
         waiter = _Waiter(call, asyncio.get_running_loop().create_future())
@@ -124,7 +124,7 @@
         pending = deque(verdicts)
         while pending:
             verdict = pending.popleft()
-            self._report_refusal(verdict)
+            self._report_if_refused(verdict)
             waiter = self._waiters.pop(verdict.ticket)
             if not waiter.verdict.done():
                 waiter.verdict.set_result(verdict)
@@ -135,7 +135,7 @@
     def _free_slot(self, call: WaitingCall) -> list[Verdict]:
         return self.admission.finish(call.customer, call.priority, None, self._now_ms())
 
-    def _report_refusal(self, verdict: Verdict) -> None:
+    def _report_if_refused(self, verdict: Verdict) -> None:
         if isinstance(verdict, Refused):
             self._on_refused(verdict)
 
--- a/packages/pepperstair-targets/pepperstair_targets/target_call.py
+++ b/packages/pepperstair-targets/pepperstair_targets/target_call.py
@@ -148,20 +148,20 @@
 
     async def _exchange(self, time_left_ms: float) -> ResponseHead:
         headers = self._headers(time_left_ms)
-        kept = self._pool.take_idle(is_fresh_wanted=not self._is_idempotent)
-        if kept is not None:
+        reused = self._pool.take_idle(is_fresh_wanted=not self._is_idempotent)
+        if reused is not None:
             try:
-                return await self._send(kept, headers)
+                return await self._send(reused, headers)
             except (ConnectionLostError, ConnectionResetError) as error:
                 if not self._may_resend():
                     raise self._lost_connection_error(error) from error
-                kept.close()
-        # The target closed the reused connection by its usual idle timeout just as the
-        # request was sent, so an idempotent call is sent again on a new connection. A
-        # non-idempotent call may have run before the connection closed.
-        fresh = await self._pool.open()
+                reused.close()
+        # A target's usual idle timeout may close a reused connection just as a request
+        # is sent, so an idempotent call is sent again on a new connection. A
+        # non-idempotent call is not, as it may have run before the connection closed.
+        opened = await self._pool.open()
         try:
-            return await self._send(fresh, headers)
+            return await self._send(opened, headers)
         except (ConnectionLostError, ConnectionResetError) as error:
             raise self._lost_connection_error(error) from error
 
