--- a/packages/pepperstair-callers/pepperstair_callers/request_body.py
+++ b/packages/pepperstair-callers/pepperstair_callers/request_body.py
@@ -65,7 +65,7 @@
         return True
 
     async def buffer(self) -> None:
-        """Buffer a small body, or the first `REPLAY_MAX_BYTES` of a larger one."""
+        """Buffer a small body whole, or the start of a larger one."""
         parts = []
         n_bytes = 0
         while n_bytes <= REPLAY_MAX_BYTES and (part := await self._source.read()):
--- a/packages/pepperstair-targets/pepperstair_targets/runner.py
+++ b/packages/pepperstair-targets/pepperstair_targets/runner.py
@@ -100,7 +100,7 @@
     ) -> None:
         self._options = options
         self._quarantine = quarantine or Quarantine()
-        self.on_crash: Callable[[str, tuple[bytes, ...]], None] = lambda *told: None
+        self.on_crash: Callable[[str, tuple[bytes, ...]], None] = lambda *args: None
         self.on_cleared: Callable[[CrashRecord], None] = lambda record: None
         self._registry = registry
         self._now_ms = now_ms
--- a/tests/test_last_hop.py
+++ b/tests/test_last_hop.py
@@ -199,7 +199,7 @@
 def test_connection_is_reused_after_a_refusal():
     """A target refuses every second call for some seconds.
 
-    With a new connection for each refusal, it would be busy opening connections.
+    With a connection for each refusal, the target would be busy opening connections.
     """
     refusal = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n"
 
