--- a/packages/pepperstair-targets/pepperstair_targets/announcements.py
+++ b/packages/pepperstair-targets/pepperstair_targets/announcements.py
@@ -1,4 +1,4 @@
-"""The HTTP interface through which targets announce themselves."""
+"""Parse the announcements that targets send over HTTP."""
 
 from __future__ import annotations
 
@@ -21,16 +21,22 @@
 
 
 class Announcement(Struct, frozen=True):
-    """What a target says of itself."""
+    """The announcement of a target as sent in JSON."""
 
     address: Annotated[str, Option("Address and port that the target serves on.")]
-    labels: Annotated[dict[str, str], Option("Labels, over those of the VM.")] = {}
-    n_slots: Annotated[int, Option("Requests it runs at once.", minimum=1)] = 1
-    n_connections_max: Annotated[int, Option("Connections it takes.", minimum=1)] = 100
+    labels: Annotated[
+        dict[str, str], Option("Labels, which override those of the VM.")
+    ] = {}
+    n_slots: Annotated[
+        int, Option("Number of requests that it runs concurrently.", minimum=1)
+    ] = 1
+    n_connections_max: Annotated[
+        int, Option("Maximum number of connections.", minimum=1)
+    ] = 100
     state: Annotated[
         str,
         Option(
-            "Whether it takes work.",
+            "Whether it accepts requests.",
             choices=tuple(state.value for state in TargetState),
         ),
     ] = "serving"
@@ -43,7 +49,7 @@
     body: bytes,
     now_ms: int,
 ) -> Result[int, list[Fault]]:
-    """Take an announcement and return the lease in milliseconds."""
+    """Register an announced target and return its lease in milliseconds."""
     read = _read_announcement(name, body)
     if read.is_err():
         return read
