--- a/packages/pepperstair-peers/pepperstair_peers/__init__.py
+++ b/packages/pepperstair-peers/pepperstair_peers/__init__.py
@@ -1,4 +1,4 @@
-"""Streams between daemons: configuration, members and calls."""
+"""Streams between daemons, which carry configuration, members and calls."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-peers/pepperstair_peers/control/__init__.py
+++ b/packages/pepperstair-peers/pepperstair_peers/control/__init__.py
@@ -1,4 +1,4 @@
-"""Control streams: members and configuration between neighbours."""
+"""Control streams, which carry members and configuration between neighbours."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-peers/pepperstair_peers/control/changes.py
+++ b/packages/pepperstair-peers/pepperstair_peers/control/changes.py
@@ -1,4 +1,4 @@
-"""Telling people of changes in the membership."""
+"""Logs membership changes and records the reasons for `explain`."""
 
 from __future__ import annotations
 
@@ -13,16 +13,22 @@
 
 log = structlog.get_logger(__name__)
 
-_DOUBTS: Final = {
+_DECISIONS_BY_STATE: Final = {
     MemberState.SUSPECT: DecisionKind.SUSPECTED,
     MemberState.GONE: DecisionKind.GONE,
 }
 
 
-def note_change(decisions: DecisionLog, change: MemberChanged, now_ms: int) -> None:
-    """Log a change of state or incarnation, and keep the doubts for `explain`."""
+def record_change(decisions: DecisionLog, change: MemberChanged, now_ms: int) -> None:
+    """Log a change of state or incarnation and record suspicions for `explain`.
+
+    A decision is recorded when a member becomes suspected or gone, and when it
+    refutes either of these states.
+    """
     before, member = change.before, change.member
-    if before is not None and _standing(before) == _standing(member):
+    if before is not None and _incarnation_and_state(before) == _incarnation_and_state(
+        member
+    ):
         return
     log.info(
         Event.MEMBER_CHANGED,
@@ -30,16 +36,16 @@
         state=member.state.name.lower(),
         incarnation=member.incarnation,
     )
-    kind = _DOUBTS.get(member.state)
-    if kind is None and before is not None and before.state in _DOUBTS:
+    kind = _DECISIONS_BY_STATE.get(member.state)
+    if kind is None and before is not None and before.state in _DECISIONS_BY_STATE:
         kind = DecisionKind.REFUTED
     if kind is not None:
         cause = f"{member.state.name.lower()} in incarnation {member.incarnation}"
         decisions.add(Decision(now_ms, kind, member.vm, cause))
 
 
-def _standing(member: Member) -> tuple[int, MemberState]:
+def _incarnation_and_state(member: Member) -> tuple[int, MemberState]:
     return member.incarnation, member.state
 
 
-__all__ = ["note_change"]
+__all__ = ["record_change"]
--- a/packages/pepperstair-peers/pepperstair_peers/control/plane.py
+++ b/packages/pepperstair-peers/pepperstair_peers/control/plane.py
@@ -1,4 +1,4 @@
-"""Carries out the membership decisions on real streams."""
+"""Executes the actions of the membership protocol on control streams."""
 
 from __future__ import annotations
 
@@ -39,15 +39,15 @@
 from ..dialling import Dialler
 from ..identity import Identity
 from ..stream import FrameStream
-from .changes import note_change
+from .changes import record_change
 from .links import ControlLink, ControlLinks
 
 log = structlog.get_logger(__name__)
 
-_FLUSH_S: Final = 0.02
+_FLUSH_DELAY_S: Final = 0.02
 _TICKS_PER_HEARTBEAT: Final = 4
-# Without a neighbour failed dials are repeated sooner.
-_TICKS_WHILE_ALONE: Final = 20
+# While there is no neighbour, failed dials are retried sooner.
+_TICKS_WITHOUT_NEIGHBOUR: Final = 20
 _MEMBER_FRAMES: Final = (
     Heartbeat,
     MemberUpdate,
@@ -58,10 +58,10 @@
 
 
 class ControlPlane:
-    """Keeps control streams to the neighbours and member records up to date.
+    """Maintains the control streams to the neighbours and the member records.
 
-    `boot_clock_ms` also counts the time in which the VM was suspended; without
-    one, pauses are told from the steady clock.
+    `boot_clock_ms` also counts time during which the VM was suspended; if it is
+    None, pauses are detected with the monotonic `clock_ms`.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         )
         self._membership = Membership(directory, members, peers, rng, now_ms)
         lease_ms = members.heartbeat_ms * members.n_heartbeats_missed
-        self._pauses = PauseDetector(lease_ms, self._boot_clock_ms())
+        self._pause_detector = PauseDetector(lease_ms, self._boot_clock_ms())
         self._links = ControlLinks(identity.vm, members.heartbeat_ms)
         self._tasks: set[asyncio.Task[None]] = set()
         self._tick_timer: asyncio.TimerHandle | None = None
@@ -106,15 +106,15 @@
 
     @property
     def neighbours(self) -> tuple[str, ...]:
-        """Return the VMs that a stream is open to."""
+        """Return the VMs to which a control stream is open."""
         return self._links.vms
 
     def start(self) -> None:
-        """Begin to join the fleet and to send heartbeats."""
+        """Start joining the fleet and sending heartbeats."""
         self._tick()
 
     def close(self) -> None:
-        """Stop dialling and close every stream once what it holds is sent."""
+        """Stop dialling, and close every stream after its buffered data is sent."""
         self._is_closed = True
         for timer in (self._tick_timer, self._flush_timer):
             if timer is not None:
@@ -125,10 +125,10 @@
             stream.finish()
 
     def is_writable(self, vm: str) -> bool:
-        """Return whether a neighbour is there and takes what is sent to it.
+        """Return whether a neighbour is connected and its write buffer is not full.
 
-        What is sent to one that reads slowly piles up in this process; work
-        that can wait is held back until its stream has drained.
+        Frames to a neighbour that reads slowly accumulate in this process, so
+        deferrable frames are sent only once its stream has drained.
         """
         link = self._links.get(vm)
         if link is None or link.stream.is_closed:
@@ -136,85 +136,83 @@
         return link.stream.gate.is_open
 
     def send(self, vm: str, *frames: Any) -> None:
-        """Send frames to a neighbour, if a stream to it is open."""
+        """Send frames to a neighbour; without a stream to it they are discarded."""
         link = self._links.get(vm)
         if link is not None:
             link.stream.send(*frames)
 
     def publish(self, member: Member) -> None:
-        """Tell the fleet this daemon's own record after a change."""
-        self._carry_out(self._membership.publish(member))
+        """Send this daemon's changed member record to the fleet."""
+        self._execute(self._membership.publish(member))
 
     def leave(self) -> None:
-        """Tell the fleet at once that this daemon goes."""
-        self._carry_out(self._membership.leave())
+        """Announce the departure of this daemon to the fleet without delay."""
+        self._execute(self._membership.leave())
         self._flush()
 
     def discover(self, addresses: Iterable[str]) -> None:
-        """Take addresses of daemons that the platform's table names."""
-        self._carry_out(self._membership.discover(addresses, self._clock_ms()))
+        """Add daemon addresses that were read from the platform's table."""
+        self._execute(self._membership.discover(addresses, self._clock_ms()))
 
     def check_pause(self) -> bool:
-        """Notice whether this process was paused, and come back if it was.
+        """Detect a pause of this process, and rejoin the fleet after one.
 
-        Returns True where the pause was noticed just now: what the kernel has
-        kept since is then stale, and must not be read.
+        Return True if this call detected the pause: data that the kernel buffered
+        during it is stale and must not be read.
         """
-        pause_ms = self._pauses.check(self._boot_clock_ms())
+        pause_ms = self._pause_detector.check(self._boot_clock_ms())
         if not pause_ms:
             return False
         self.n_pauses += 1
         log.warning(Event.PAUSE_DETECTED, pause_ms=pause_ms)
         self.on_paused()
-        self._carry_out(self._membership.resume(self._clock_ms()))
+        self._execute(self._membership.resume(self._clock_ms()))
         return True
 
     def take_stream(self, stream: FrameStream, hello: Hello) -> None:
-        """Serve a control stream that another daemon opened."""
+        """Start using a control stream that another daemon opened."""
         now_ms = self._clock_ms()
         link = ControlLink(stream, hello.vm, hello.start_id, False, now_ms)
-        self._add(link, hello.peer_address)
+        self._add_link(link, hello.peer_address)
 
     def _tick(self) -> None:
         self.check_pause()
-        self._carry_out(self._membership.tick(self._clock_ms()))
+        self._execute(self._membership.tick(self._clock_ms()))
         loop = asyncio.get_running_loop()
-        n_ticks = _TICKS_PER_HEARTBEAT if self._links.vms else _TICKS_WHILE_ALONE
+        n_ticks = _TICKS_PER_HEARTBEAT if self._links.vms else _TICKS_WITHOUT_NEIGHBOUR
         delay_s = self._heartbeat_ms / 1000 / n_ticks
         self._tick_timer = loop.call_later(delay_s, self._tick)
 
     def _flush(self) -> None:
         self._flush_timer = None
         actions = list(self._membership.flush(self.is_writable, self._clock_ms()))
-        # With nothing sent the neighbours are slow: the next tick tries again.
-        self._carry_out(actions, is_flush_wanted=bool(actions))
+        # No actions means that the neighbours are slow; the next tick flushes again.
+        self._execute(actions, is_flush_wanted=bool(actions))
 
-    def _carry_out(
-        self, actions: Iterable[Action], is_flush_wanted: bool = True
-    ) -> None:
+    def _execute(self, actions: Iterable[Action], is_flush_wanted: bool = True) -> None:
         is_changed = False
         for action in actions:
             if isinstance(action, Send):
                 self.send(action.vm, action.frame)
             elif isinstance(action, Dial):
-                self._run(self._dial(action.address))
+                self._start_task(self._dial(action.address))
             elif isinstance(action, Close):
-                self._break(action.vm)
+                self._close_link(action.vm)
             elif isinstance(action, MemberChanged):
                 is_changed = True
-                note_change(self._decisions, action, self._clock_ms())
+                record_change(self._decisions, action, self._clock_ms())
         if is_changed:
             self.on_members_changed()
         if is_flush_wanted and self._membership.is_flush_due:
             self._schedule_flush()
 
     def _schedule_flush(self) -> None:
-        """Send changes a little later, so that those of one burst share frames."""
+        """Schedule a flush after a short delay, so that a burst shares frames."""
         if self._flush_timer is None and not self._is_closed:
             loop = asyncio.get_running_loop()
-            self._flush_timer = loop.call_later(_FLUSH_S, self._flush)
+            self._flush_timer = loop.call_later(_FLUSH_DELAY_S, self._flush)
 
-    def _break(self, vm: str) -> None:
+    def _close_link(self, vm: str) -> None:
         link = self._links.get(vm)
         if link is not None:
             link.stream.close()
@@ -223,18 +221,18 @@
         def on_welcome(stream: FrameStream, welcome: Welcome) -> None:
             now_ms = self._clock_ms()
             link = ControlLink(stream, welcome.vm, welcome.start_id, True, now_ms)
-            self._add(link, address)
+            self._add_link(link, address)
 
         try:
             await self._dialler.dial(address, on_welcome)
         except (OSError, TimeoutError) as error:
             is_refused = isinstance(error, ConnectionRefusedError)
             now_ms = self._clock_ms()
-            self._carry_out(self._membership.fail(address, is_refused, now_ms))
+            self._execute(self._membership.fail(address, is_refused, now_ms))
 
-    def _add(self, link: ControlLink, address: str) -> None:
-        """Take a stream into use, unless there is a better one."""
-        if not self._links.is_better(link):
+    def _add_link(self, link: ControlLink, address: str) -> None:
+        """Start using a stream, or close it if the current one is preferred."""
+        if not self._links.is_preferred(link):
             self._membership.settle(address)
             link.stream.close()
             return
@@ -247,27 +245,27 @@
             _call_all(self.neighbour_down_callbacks, vm)
         log.info(Event.PEER_CONNECTED, peer=vm)
         now_ms = self._clock_ms()
-        self._carry_out(self._membership.open(vm, address, link.is_dialler, now_ms))
+        self._execute(self._membership.open(vm, address, link.is_dialler, now_ms))
         _call_all(self.neighbour_up_callbacks, vm)
 
     def _on_closed(self, link: ControlLink) -> None:
         if not self._links.remove(link) or self._is_closed:
             return
         log.info(Event.PEER_LOST, peer=link.vm)
-        self._carry_out(self._membership.close(link.vm, self._clock_ms()))
+        self._execute(self._membership.close(link.vm, self._clock_ms()))
         _call_all(self.neighbour_down_callbacks, link.vm)
 
     def _on_frame(self, link: ControlLink, frame: Any) -> None:
         if self._links.get(link.vm) is not link:
             return
         now_ms = self._clock_ms()
-        self._carry_out(self._membership.receive(link.vm, frame, now_ms))
+        self._execute(self._membership.receive(link.vm, frame, now_ms))
         if isinstance(frame, CrashRecords):
             self.on_crash_records(link.vm, frame)
         elif not isinstance(frame, _MEMBER_FRAMES):
             self.on_configuration_frame(link.vm, frame)
 
-    def _run(self, coroutine: Any) -> None:
+    def _start_task(self, coroutine: Any) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/packages/pepperstair-peers/pepperstair_peers/counters.py
+++ b/packages/pepperstair-peers/pepperstair_peers/counters.py
@@ -1,4 +1,4 @@
-"""Counts of the frames that a daemon sends, by kind of frame."""
+"""Counters of the frames that a daemon sends, by frame type."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class SentFrames(Struct):
-    """Frames of one kind that were sent, and their bytes."""
+    """The number and total size of the sent frames of one type."""
 
     n_frames: int = 0
     n_bytes: int = 0
 
 
 class FrameCounters:
-    """Frames sent on all streams of one kind, control or data.
+    """Counts the frames sent on all streams of one kind, control or data.
 
-    `n_rejected` counts the frames for which a stream that was dialled from here
-    had to be closed.
+    `n_rejected` counts the outgoing streams that were closed because of an
+    invalid frame.
 
     >>> counters = FrameCounters()
     >>> counters.add(Heartbeat(1), 4)
@@ -36,7 +36,7 @@
         self.n_rejected = 0
 
     def add(self, frame: Any, n_bytes: int) -> None:
-        """Count a frame that is being sent."""
+        """Count one sent frame of `n_bytes` encoded bytes."""
         sent = self._sent.get(type(frame))
         if sent is None:
             sent = self._sent[type(frame)] = SentFrames()
@@ -45,11 +45,11 @@
 
     @property
     def n_bytes(self) -> int:
-        """Return the bytes of every kind of frame together."""
+        """Return the total bytes of all frame types."""
         return sum(sent.n_bytes for sent in self._sent.values())
 
     def iter_named(self, streams: str) -> Iterator[tuple[str, int]]:
-        """Yield each count under the name that status and metrics use."""
+        """Yield each counter with the name that it has in status and metrics."""
         for cls, sent in self._sent.items():
             name = _snake_case(cls.__name__)
             yield f"n_{streams}_sent_frames_{name}", sent.n_frames
--- a/packages/pepperstair-peers/pepperstair_peers/data/__init__.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/__init__.py
@@ -1,4 +1,4 @@
-"""Data streams: calls sent to other daemons and calls taken from them."""
+"""Data streams, which carry calls to and from other daemons."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-peers/pepperstair_peers/data/client.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/client.py
@@ -1,4 +1,4 @@
-"""The sending side of calls: one link to each daemon in use."""
+"""The sending side of calls, with one link to each daemon in use."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from ..counters import FrameCounters
 from ..dialling import Dialler
 from ..identity import Identity
-from .link import SILENT_HEARTBEATS, PeerLink
+from .link import N_SILENT_HEARTBEATS, PeerLink
 
 log = structlog.get_logger(__name__)
 
 
 class CallClient:
-    """Carries calls to other daemons over one stream each."""
+    """Sends calls to other daemons, over one stream per daemon."""
 
     def __init__(
         self,
@@ -30,38 +30,38 @@
         heartbeat_ms: int,
         clock_ms: Callable[[], int],
     ) -> None:
-        own_silence_ms = max(identity.silence_ms, SILENT_HEARTBEATS * heartbeat_ms)
-        # What holds up a heartbeat holds up a greeting as well, once.
-        dial_ms = own_silence_ms - heartbeat_ms
+        own_silence_ms = max(identity.silence_ms, N_SILENT_HEARTBEATS * heartbeat_ms)
+        # A handshake can be delayed on the link once, just as a heartbeat can.
+        dial_timeout_ms = own_silence_ms - heartbeat_ms
         self._dialler = Dialler(
-            identity, StreamKind.DATA, frame_max_bytes, counters, dial_ms
+            identity, StreamKind.DATA, frame_max_bytes, counters, dial_timeout_ms
         )
         self._silence_ms = own_silence_ms
         self._heartbeat_ms = heartbeat_ms
         self._clock_ms = clock_ms
         self._links: dict[str, PeerLink] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._ticked_ms = 0
+        self._last_tick_ms = 0
 
     @property
     def n_in_flight(self) -> int:
-        """Return the calls whose answers are not whole yet."""
+        """Return the number of calls whose answers are not complete yet."""
         return sum(link.n_calls for link in self._links.values())
 
     @property
     def n_dropped_frames(self) -> int:
-        """Return the frames that came for calls which were gone."""
+        """Return the number of frames received for calls that no longer exist."""
         return sum(link.n_dropped_frames for link in self._links.values())
 
     @property
     def n_replaced_streams(self) -> int:
-        """Return the streams that were lost while calls waited on them."""
+        """Return the number of streams lost while calls were in flight on them."""
         return sum(link.n_replaced_streams for link in self._links.values())
 
     async def run(
         self, peer_address: str, head: CallHead, body: BodyBuffer
     ) -> StreamedResponse:
-        """Send a call to the daemon at an address, or raise PepperstairError."""
+        """Send a call to a daemon and return its answer, or raise PepperstairError."""
         link = self._links.get(peer_address)
         if link is None:
             link = PeerLink(
@@ -73,17 +73,17 @@
             )
             self._links[peer_address] = link
             if self._timer is None:
-                self._ticked_ms = self._clock_ms()
+                self._last_tick_ms = self._clock_ms()
                 self._schedule()
         return await link.run(head, body)
 
     def load_of(self, peer_address: str, target: str) -> Load | None:
-        """Return what a daemon last said about one of its targets."""
+        """Return the load that a daemon last reported for one of its targets."""
         link = self._links.get(peer_address)
         return None if link is None else link.loads.get(target)
 
     def close(self) -> None:
-        """Break every stream."""
+        """Close every stream and fail the calls in flight."""
         if self._timer is not None:
             self._timer.cancel()
         for link in self._links.values():
@@ -95,13 +95,13 @@
 
     def _tick(self) -> None:
         now_ms = self._clock_ms()
-        # After a pause of this process the answers wait in its kernel; to
-        # judge the streams before reading them would replace all of them.
-        was_late = now_ms - self._ticked_ms > self._heartbeat_ms
-        self._ticked_ms = now_ms
+        # After a pause of this process, answers are still buffered in the kernel.
+        # Checking the streams for silence before reading would replace all of them.
+        is_late_tick = now_ms - self._last_tick_ms > self._heartbeat_ms
+        self._last_tick_ms = now_ms
         for address, link in list(self._links.items()):
-            if was_late:
-                link.restart_silence(now_ms)
+            if is_late_tick:
+                link.reset_silence_timer(now_ms)
             link.tick(now_ms)
             if link.is_unused:
                 del self._links[address]
--- a/packages/pepperstair-peers/pepperstair_peers/data/fence.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/fence.py
@@ -1,4 +1,4 @@
-"""Keeps an earlier stream of a daemon from acting after a later one."""
+"""Rejects data streams that a newer stream of the same process has replaced."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class StreamFence:
-    """The highest sequence of a data stream that each process has opened.
+    """Tracks the highest sequence of the data streams that each process has opened.
 
-    A stream that fell silent may come back to life after it was replaced. A
-    call head that was still on it would run although its caller has asked for
-    it on the new stream and was told that it had not.
+    A silent stream may resume after it was replaced. Without the fence, a call
+    head still buffered on it would run although the caller queried the call on
+    the new stream and received the answer that it had not run.
     """
 
     def __init__(self) -> None:
         self._sequences: dict[Sender, int] = {}
 
     def admit(self, sender: Sender, sequence: int) -> bool:
-        """Return whether a stream is the latest one of its process."""
+        """Record a stream, and return whether it is the newest of its process."""
         if sequence <= self._sequences.get(sender, 0):
             return False
         self._sequences.pop(sender, None)
--- a/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
@@ -1,4 +1,4 @@
-"""One call that another daemon sent here, and where its answer goes."""
+"""A call received from another daemon, and the relay of its answer."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
 from pepperstair_http import BodyBuffer, ConnectionLostError, StreamedResponse
 
 from ..stream import FrameStream
-from .sending import CreditGate, iter_parts, send_data, take_part
+from .sending import CreditGate, iter_parts, receive_part, send_data
 
 log = structlog.get_logger(__name__)
 
 
 TargetLoad = tuple[int, int]
-LoadOf = Callable[[str], TargetLoad]
+LoadLookup = Callable[[str], TargetLoad]
 
 
 class IncomingCall:
-    """A call that runs here.
+    """Represents a call that runs at this daemon.
 
-    `stream` is where the answer goes while it comes, None once that stream is
-    lost. `asker` is a later stream on which the caller asked for the call: it
-    gets the whole answer when there is one.
+    `stream` is the stream to which the answer is relayed as it arrives, and None
+    once that stream is lost. `query_stream` is a later stream on which the caller
+    queried the call; it receives the whole answer when the call has finished.
     """
 
     __slots__ = (
         "_load_of",
-        "asker",
+        "query_stream",
         "body",
         "credit",
         "head",
@@ -63,7 +63,7 @@
         key: CallKey,
         head: CallHead,
         stream: FrameStream,
-        load_of: LoadOf,
+        load_of: LoadLookup,
         pacer: LinkPacer,
     ) -> None:
         self.pacer = pacer
@@ -71,23 +71,23 @@
         self.key = key
         self.head = head
         self.stream: FrameStream | None = stream
-        self.asker: FrameStream | None = None
+        self.query_stream: FrameStream | None = None
         self.credit = CreditGate()
         self.kept: KeptAnswer | None = None
         self.task: asyncio.Task[None] | None = None
-        self.body = BodyBuffer(self._grant)
+        self.body = BodyBuffer(self._send_credit)
         if not head.has_body:
             self.body.finish()
 
     @property
     def is_remembered(self) -> bool:
-        """Return whether what becomes of the call is kept for asking again."""
+        """Return whether the outcome is recorded so that the caller can query it."""
         return not self.head.is_idempotent
 
-    def take(self, frame: Any) -> None:
-        """Take a frame that belongs to the call."""
+    def receive(self, frame: Any) -> None:
+        """Process a frame that belongs to the call, or raise FrameError."""
         if isinstance(frame, BodyPart):
-            take_part(self.body, frame.data)
+            receive_part(self.body, frame.data)
         elif isinstance(frame, BodyEnd):
             self.body.finish()
         elif isinstance(frame, Credit):
@@ -95,28 +95,28 @@
         elif isinstance(frame, Reset):
             self.task.cancel()
         else:
-            raise FrameError(f"{type(frame).__name__} is no part of a request")
+            raise FrameError(f"unexpected {type(frame).__name__} in a request")
 
-    def lose(self) -> None:
-        """Take the loss of the stream.
+    def on_stream_lost(self) -> None:
+        """Handle the loss of the stream.
 
-        A non-idempotent call runs on, so that its answer can be asked for; of a
-        request that is not whole the target must never see an end.
+        A non-idempotent call continues, so that its answer can be queried. An
+        incomplete request body fails, so that the target never sees it as complete.
         """
         self.stream = None
-        self.credit.lose()
+        self.credit.on_stream_lost()
         if not self.is_remembered:
             self.task.cancel()
             return
-        self.body.fail(ConnectionLostError("the stream was lost"))
+        self.body.fail(ConnectionLostError("stream lost during the request"))
 
     async def relay(self, response: StreamedResponse) -> KeptAnswer | None:
-        """Send an answer as it comes, and return it where it is to be kept."""
+        """Send an answer as it arrives, and return it if it is to be recorded."""
         load = self._load_of(self.head.target)
         head = AnswerHead(self.head.call_id, response.status, response.headers, *load)
         part = response.body.read_nowait()
         is_whole = response.body.is_empty and self.pacer.may_leave_whole(len(part))
-        if is_whole and self.credit.take_nowait(len(part)):
+        if is_whole and self.credit.try_acquire(len(part)):
             parts = [BodyPart(self.head.call_id, data) for data in iter_parts(part)]
             self.send(head, *parts, BodyEnd(self.head.call_id))
             return self._keep(response, [part]) if self.is_remembered else None
@@ -126,19 +126,19 @@
         return None if kept is None else self._keep(response, kept)
 
     def fail(self, failure: Failure) -> None:
-        """Send the failure that ended the call."""
+        """Send a CallFailed frame with the failure that ended the call."""
         load = self._load_of(self.head.target)
-        self.send(failed(self.head.call_id, failure, load))
+        self.send(call_failed_frame(self.head.call_id, failure, load))
 
     def send(self, *frames: Any) -> None:
-        """Send frames to the stream of the call, while there is one."""
+        """Send frames on the stream of the call, unless it is lost."""
         if self.stream is not None:
             self.stream.send(*frames)
 
     async def _relay_body(
         self, response: StreamedResponse, part: bytes
     ) -> list[bytes] | None:
-        """Send a body and collect it, None where it grew too large to keep."""
+        """Send a body and return its parts, or None if they are not to be kept."""
         kept: list[bytes] | None = [] if self.is_remembered else None
         n_kept_bytes = 0
         data = part or await response.body.read()
@@ -167,29 +167,31 @@
     def _keep(self, response: StreamedResponse, parts: list[bytes]) -> KeptAnswer:
         return KeptAnswer(response.status, response.headers, b"".join(parts))
 
-    def _grant(self, n_bytes: int) -> None:
-        """Permit more of the request's body, unless all of it is here.
+    def _send_credit(self, n_bytes: int) -> None:
+        """Grant more credit for the request body, unless it is complete.
 
-        A credit that nobody needs would cost a write here and a wake-up of the
-        other daemon for each small call.
+        Unneeded credit would cost a write here and a wake-up of the other daemon
+        for each small call.
         """
         if self.body.is_whole:
             return
         self.send(Credit(self.head.call_id, n_bytes))
 
 
-def send_kept(stream: FrameStream, call_id: int, answer: KeptAnswer) -> None:
-    """Send a kept answer; it fits the credit that every call starts with."""
+def send_kept_answer(stream: FrameStream, call_id: int, answer: KeptAnswer) -> None:
+    """Send a kept answer, which always fits into the initial credit of a call."""
     if answer.failure is not None:
-        stream.send(failed(call_id, answer.failure))
+        stream.send(call_failed_frame(call_id, answer.failure))
         return
     parts = [BodyPart(call_id, part) for part in iter_parts(answer.body)]
     head = AnswerHead(call_id, answer.status, answer.headers)
     stream.send(head, *parts, BodyEnd(call_id))
 
 
-def failed(call_id: int, failure: Failure, load: TargetLoad = (0, 0)) -> CallFailed:
-    """Return the frame that ends a call with a failure."""
+def call_failed_frame(
+    call_id: int, failure: Failure, load: TargetLoad = (0, 0)
+) -> CallFailed:
+    """Return the CallFailed frame for a failure."""
     return CallFailed(
         call_id,
         failure.kind,
@@ -200,4 +202,10 @@
     )
 
 
-__all__ = ["IncomingCall", "LoadOf", "TargetLoad", "failed", "send_kept"]
+__all__ = [
+    "IncomingCall",
+    "LoadLookup",
+    "TargetLoad",
+    "call_failed_frame",
+    "send_kept_answer",
+]
--- a/packages/pepperstair-peers/pepperstair_peers/data/link.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/link.py
@@ -1,4 +1,4 @@
-"""The calls to one daemon, over one stream at a time."""
+"""The calls to one daemon, sent over one stream at a time."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 log = structlog.get_logger(__name__)
 
 _N_RECOVERIES_MAX: Final = 3
-SILENT_HEARTBEATS: Final = 2
-_IDLE_HEARTBEATS: Final = 60
-_IDS_MAX: Final = 4096
-# Three dials with their pauses take four to five heartbeats. A call is asked for
-# again where that is less than a quarter of the time that it came with.
-_GIVEN_BACK_HEARTBEATS: Final = 20
+N_SILENT_HEARTBEATS: Final = 2
+_N_IDLE_HEARTBEATS: Final = 60
+_N_COMPLETED_IDS_MAX: Final = 4096
+# Three dials with their pauses take four to five heartbeats. An idempotent call is
+# recovered only if that is less than a quarter of its timeout.
+_N_URGENT_HEARTBEATS: Final = 20
 
 
 class PeerLink:
     """Sends calls to one daemon and recovers them when a stream is lost.
 
-    A call whose stream was lost is asked for again on a new stream, but only
-    from the very process that took it: no other one can know what became of it.
-    It is sent again where it is idempotent or never arrived.
+    After the loss of its stream, a non-idempotent call is queried on a new stream,
+    but only from the process that accepted it, as no other process knows the
+    outcome. A call is resent if it is idempotent or was never received.
     """
 
     def __init__(
@@ -62,32 +62,32 @@
         self._stream: FrameStream | None = None
         self._start_id = 0
         self._calls: dict[int, OutgoingCall] = {}
-        self._done_ids: list[int] = []
+        self._completed_call_ids: list[int] = []
         self._opening: asyncio.Task[None] | None = None
         self._recovering: asyncio.Task[None] | None = None
-        self._n_heard_bytes = 0
-        self._heard_ms = 0
-        self._used_ms = clock_ms()
+        self._n_last_received_bytes = 0
+        self._last_received_ms = 0
+        self._last_used_ms = clock_ms()
         self.loads: dict[str, Load] = {}
         self.n_dropped_frames = 0
         self.n_replaced_streams = 0
 
     @property
     def n_calls(self) -> int:
-        """Return the calls that are not over."""
+        """Return the number of unfinished calls."""
         return len(self._calls)
 
     async def run(self, head: CallHead, body: BodyBuffer) -> StreamedResponse:
-        """Send a call and wait for the head of its answer."""
+        """Send a call and return its answer once the head has arrived."""
         if not self._is_open:
-            await self._open_once()
+            await self._ensure_open()
         call_id = head.call_id
         now_ms = self._clock_ms()
         call = OutgoingCall(
-            head, self._start_id, now_ms, lambda n: self._grant(call_id, n)
+            head, self._start_id, now_ms, lambda n: self._send_credit(call_id, n)
         )
         if not self._calls:
-            self._heard_ms = now_ms
+            self._last_received_ms = now_ms
         self._calls[call_id] = call
         call.send(self._stream, body)
         try:
@@ -101,31 +101,31 @@
 
     @property
     def is_unused(self) -> bool:
-        """Return whether the link may be dropped."""
+        """Return whether the link has neither a stream nor calls."""
         return not (self._is_open or self._calls or self._opening)
 
     def tick(self, now_ms: int) -> None:
-        """Look for silence, and tell which answers need not be kept."""
+        """Report completed calls, and close a silent or idle stream."""
         if not self._is_open:
             return
-        if self._stream.n_received_bytes != self._n_heard_bytes:
-            self._n_heard_bytes = self._stream.n_received_bytes
-            self._heard_ms = now_ms
-        if self._done_ids:
-            self._stream.send(CallsDone(tuple(self._done_ids)))
-            self._done_ids.clear()
+        if self._stream.n_received_bytes != self._n_last_received_bytes:
+            self._n_last_received_bytes = self._stream.n_received_bytes
+            self._last_received_ms = now_ms
+        if self._completed_call_ids:
+            self._stream.send(CallsDone(tuple(self._completed_call_ids)))
+            self._completed_call_ids.clear()
         if self._calls:
-            self._used_ms = now_ms
-            self._replace_silent(now_ms)
-        elif now_ms - self._used_ms >= _IDLE_HEARTBEATS * self._heartbeat_ms:
+            self._last_used_ms = now_ms
+            self._replace_silent_stream(now_ms)
+        elif now_ms - self._last_used_ms >= _N_IDLE_HEARTBEATS * self._heartbeat_ms:
             self._stream.close()
 
-    def restart_silence(self, now_ms: int) -> None:
-        """Count silence from now: it was this process that did not listen."""
-        self._heard_ms = now_ms
+    def reset_silence_timer(self, now_ms: int) -> None:
+        """Restart the silence timeout after this process itself was not reading."""
+        self._last_received_ms = now_ms
 
     def close(self) -> None:
-        """Break the stream; nobody knows what becomes of calls that are not over."""
+        """Close the stream, and fail unfinished calls with `outcome_unknown`."""
         for task in (self._opening, self._recovering):
             if task is not None:
                 task.cancel()
@@ -140,43 +140,45 @@
     def _is_open(self) -> bool:
         return self._stream is not None and not self._stream.is_closed
 
-    def _replace_silent(self, now_ms: int) -> None:
-        """Give up a stream that is silent while calls wait.
+    def _replace_silent_stream(self, now_ms: int) -> None:
+        """Close a stream that is silent while calls are waiting.
 
-        Something between two daemons can lose track of a connection: both ends
-        hold it open, nothing arrives any more, and the callers would wait until
-        their deadlines although a new connection works at once.
+        A middlebox between two daemons can lose the state of a connection: both ends
+        keep it open, but nothing arrives any more. The callers would wait until their
+        deadlines, although a new connection works immediately.
 
-        How long silence may last is what either end says of its link: a large
-        answer on a link of 5 Mbit/s holds up everything behind it for the better
-        part of a second, and streams given up then would all be opened anew on that
-        same link. One would notice calls lost on VMs that are well.
+        The silence timeout is the larger of the values configured at both ends for
+        their links. A large answer on a 5 Mbit/s link delays everything behind it
+        for most of a second. Streams closed because of that would all be reopened on
+        the same link, and calls would fail on healthy VMs.
         """
-        if now_ms - self._heard_ms >= self._silence_ms:
+        if now_ms - self._last_received_ms >= self._silence_ms:
             self._stream.close()
-            self._give_back_urgent()
-            self._on_lost(self._stream)
+            self._fail_urgent_calls()
+            self._on_stream_lost(self._stream)
 
-    def _give_back_urgent(self) -> None:
-        """Give the calls back that may run twice and can't wait for this daemon.
+    def _fail_urgent_calls(self) -> None:
+        """Fail idempotent calls with too little time left for recovery.
 
-        It may be frozen or cut off. Asking it again takes several heartbeats, in
-        which another target could have answered.
+        The daemon may be frozen or partitioned. Recovery takes several heartbeats,
+        in which a retry at another target could have been answered.
         """
-        limit_ms = _GIVEN_BACK_HEARTBEATS * self._heartbeat_ms
+        limit_ms = _N_URGENT_HEARTBEATS * self._heartbeat_ms
         for call_id, call in list(self._calls.items()):
             if call.head.is_idempotent and call.head.time_left_ms <= limit_ms:
                 del self._calls[call_id]
-                call.fail(Failure(ErrorKind.OUTCOME_UNKNOWN, "the stream is silent"))
+                call.fail(
+                    Failure(ErrorKind.OUTCOME_UNKNOWN, "no data received on the stream")
+                )
 
-    async def _open_once(self) -> None:
-        """Open a stream, sharing one attempt between the calls that need it."""
+    async def _ensure_open(self) -> None:
+        """Open a stream; concurrent calls share one attempt."""
         if self._opening is None:
             self._opening = asyncio.get_running_loop().create_task(self._open())
             self._opening.add_done_callback(self._on_opened)
         await asyncio.shield(self._opening)
         if not self._is_open:
-            raise _unreachable("the stream was lost at once")
+            raise _unreachable_error("the stream was closed immediately")
 
     def _on_opened(self, opening: asyncio.Task[None]) -> None:
         self._opening = None
@@ -187,23 +189,23 @@
         try:
             await self._dialler.dial(self._address, self._on_welcome)
         except (OSError, TimeoutError) as error:
-            raise _unreachable(str(error) or "no answer in time") from error
+            raise _unreachable_error(str(error) or "no answer in time") from error
 
     def _on_welcome(self, stream: FrameStream, welcome: Welcome) -> None:
         self._stream = stream
         self._start_id = welcome.start_id
         self._silence_ms = max(self._own_silence_ms, welcome.silence_ms)
-        self._heard_ms = self._used_ms = self._clock_ms()
-        self._n_heard_bytes = stream.n_received_bytes
+        self._last_received_ms = self._last_used_ms = self._clock_ms()
+        self._n_last_received_bytes = stream.n_received_bytes
         stream.on_frame = lambda frame: self._on_frame(stream, frame)
-        stream.closed_callbacks.append(lambda reason: self._on_lost(stream))
+        stream.closed_callbacks.append(lambda reason: self._on_stream_lost(stream))
 
-    def _grant(self, call_id: int, n_bytes: int) -> None:
+    def _send_credit(self, call_id: int, n_bytes: int) -> None:
         if call_id in self._calls and self._is_open:
             self._stream.send(Credit(call_id, n_bytes))
 
     def _abandon(self, call_id: int) -> None:
-        """Forget a call and tell the other side, unless it is over."""
+        """Drop an unfinished call and send a Reset for it."""
         call = self._calls.pop(call_id, None)
         if call is None:
             return
@@ -215,61 +217,68 @@
         if stream is not self._stream:
             return
         if isinstance(frame, Heartbeat):
-            self._take_loads(frame)
+            self._update_loads(frame)
             return
         call_id = getattr(frame, "call_id", None)
         if call_id is None:
-            raise FrameError(f"{type(frame).__name__} has no place on a data stream")
+            raise FrameError(f"unexpected {type(frame).__name__} on a data stream")
         call = self._calls.get(call_id)
         if call is None:
-            # Answers to calls that were given up on arrive late; matching by
-            # id keeps them from being taken for another call's answer.
+            # This is a late answer to an abandoned call. Matching by id prevents
+            # it from being delivered as the answer to another call.
             self.n_dropped_frames += 1
             return
         if isinstance(frame, (AnswerHead, CallFailed)):
-            # Fresher than the heartbeat: a choice made on a load of a second
-            # ago sends a burst where there was room before it.
+            # This load is newer than the last heartbeat's. Choices based on a
+            # load of a second ago would send a burst to a target that is now full.
             load = Load(frame.n_in_flight, frame.n_queued)
             self.loads[call.head.target] = load
-        if self._resend_denied(call, frame):
+        if self._resend_undelivered(call, frame):
             return
-        if call.take(frame):
+        if call.receive(frame):
             del self._calls[call_id]
-            if not call.head.is_idempotent and len(self._done_ids) < _IDS_MAX:
-                self._done_ids.append(call_id)
+            if (
+                not call.head.is_idempotent
+                and len(self._completed_call_ids) < _N_COMPLETED_IDS_MAX
+            ):
+                self._completed_call_ids.append(call_id)
 
-    def _resend_denied(self, call: OutgoingCall, frame: Any) -> bool:
-        """Send a call again that a lost stream never delivered.
+    def _resend_undelivered(self, call: OutgoingCall, frame: Any) -> bool:
+        """Resend a call that a lost stream did not deliver; return whether it was.
 
-        The daemon that was asked has never seen it, and refuses it from then on
-        where it comes on an earlier stream.
+        The peer answered the query that it never received the call, and from then
+        on it refuses the call on any earlier stream.
         """
         if not isinstance(frame, CallFailed) or frame.run is not Run.NO:
             return False
         is_undelivered = frame.kind is ErrorKind.PEER_UNREACHABLE
-        if not is_undelivered or not call.may_be_resent:
+        if not is_undelivered or not call.is_resendable:
             return False
         call.resend(self._stream, self._start_id, self._clock_ms())
         return True
 
-    def _take_loads(self, frame: Heartbeat) -> None:
+    def _update_loads(self, frame: Heartbeat) -> None:
         self.loads = {
             name: Load(n_in_flight, n_queued)
             for name, n_in_flight, n_queued in frame.loads
         }
 
-    def _on_lost(self, stream: FrameStream) -> None:
-        """Recover the calls, save those whose request or answer can't come again."""
+    def _on_stream_lost(self, stream: FrameStream) -> None:
+        """Start recovery, and fail idempotent calls that cannot be resent."""
         if stream is not self._stream:
             return
         self._stream = None
         self.loads = {}
-        self._done_ids.clear()
+        self._completed_call_ids.clear()
         for call_id, call in list(self._calls.items()):
             call.stop_sending()
-            if call.head.is_idempotent and not call.may_be_resent:
+            if call.head.is_idempotent and not call.is_resendable:
                 del self._calls[call_id]
-                call.fail(Failure(ErrorKind.OUTCOME_UNKNOWN, "the stream was lost"))
+                call.fail(
+                    Failure(
+                        ErrorKind.OUTCOME_UNKNOWN, "the stream was lost during the call"
+                    )
+                )
         if self._calls and self._recovering is None:
             self.n_replaced_streams += 1
             self._start_recovery(0)
@@ -285,16 +294,15 @@
             self._start_recovery(self._heartbeat_ms / 4)
 
     async def _recover(self, delay_ms: float) -> None:
-        """Ask on a new stream what became of the calls of a lost one.
+        """Open a new stream, and resend or query the calls of the lost one.
 
-        Once a head was written it may have run, whatever happened since: where
-        the process that took it is gone, or can't be reached, the answer is
-        that nobody knows.
+        A call may have run once its head was written. If the process that accepted
+        it has exited or is unreachable, the call fails with `outcome_unknown`.
         """
         await asyncio.sleep(delay_ms / 1000)
         for _ in range(_N_RECOVERIES_MAX):
             try:
-                await self._open_once()
+                await self._ensure_open()
                 break
             except PepperstairError as error:
                 if isinstance(error.__cause__, ConnectionRefusedError):
@@ -307,16 +315,16 @@
                 call.resend(self._stream, self._start_id, self._clock_ms())
                 continue
             if self._is_open and call.start_id == self._start_id:
-                call.ask_again(self._stream)
+                call.query_outcome(self._stream)
                 continue
             del self._calls[call_id]
-            detail = "the daemon that took it is gone"
+            detail = "the daemon restarted or is unreachable"
             call.fail(Failure(ErrorKind.OUTCOME_UNKNOWN, detail))
 
 
-def _unreachable(detail: str) -> PepperstairError:
-    """Return the failure of a call whose head was never written."""
+def _unreachable_error(detail: str) -> PepperstairError:
+    """Return the error for a call whose head was never written."""
     return PepperstairError(Failure(ErrorKind.PEER_UNREACHABLE, detail, run=Run.NO))
 
 
-__all__ = ["SILENT_HEARTBEATS", "PeerLink"]
+__all__ = ["N_SILENT_HEARTBEATS", "PeerLink"]
--- a/packages/pepperstair-peers/pepperstair_peers/data/outgoing.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/outgoing.py
@@ -1,4 +1,4 @@
-"""One call that was sent to another daemon."""
+"""A call sent to another daemon."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 from pepperstair_http import BodyBuffer, ConnectionLostError
 
 from ..stream import FrameStream
-from .sending import CreditGate, iter_parts, send_body, send_data, take_part
+from .sending import CreditGate, iter_parts, receive_part, send_body, send_data
 
 log = structlog.get_logger(__name__)
 
 
 class OutgoingCall:
-    """Waits for the head of an answer, then feeds its body to the reader."""
+    """Represents a call in flight: its request, its answer's head and its body."""
 
     __slots__ = (
         "_deadline_ms",
         "_n_received_bytes",
-        "_n_skipped_bytes",
+        "_n_bytes_to_skip",
         "_request",
-        "_sender",
+        "_body_task",
         "body",
         "credit",
         "answer",
@@ -60,13 +60,13 @@
         self.answer: asyncio.Future[AnswerHead] = loop.create_future()
         self.body = BodyBuffer(on_consumed)
         self.credit = CreditGate()
-        self._sender: asyncio.Task[None] | None = None
+        self._body_task: asyncio.Task[None] | None = None
         self._request: tuple[Any, ...] | None = None
         self._n_received_bytes = 0
-        self._n_skipped_bytes = 0
+        self._n_bytes_to_skip = 0
 
     def send(self, stream: FrameStream, body: BodyBuffer) -> None:
-        """Write the request, in one piece where its body is here already."""
+        """Send the request, in a single write if its whole body is available."""
         head = self.head
         self.stream = stream
         if not head.has_body:
@@ -74,19 +74,19 @@
             stream.send(head)
             return
         part = body.read_nowait() if body.is_whole else b""
-        if body.is_empty and self.credit.take_nowait(len(part)):
+        if body.is_empty and self.credit.try_acquire(len(part)):
             parts = [BodyPart(head.call_id, data) for data in iter_parts(part)]
             self._request = (*parts, BodyEnd(head.call_id))
             stream.send(head, *self._request)
             return
         stream.send(head)
         sending = self._send_body(stream, part, body)
-        self._sender = asyncio.get_running_loop().create_task(sending)
+        self._body_task = asyncio.get_running_loop().create_task(sending)
 
-    def take(self, frame: Any) -> bool:
-        """Take a frame of the answer, and return whether the call is over."""
+    def receive(self, frame: Any) -> bool:
+        """Process a frame of the answer, and return whether the call is finished."""
         if isinstance(frame, BodyPart):
-            self._take_part(frame.data)
+            self._receive_part(frame.data)
         elif isinstance(frame, AnswerHead):
             if not self.answer.done():
                 self.answer.set_result(frame)
@@ -101,16 +101,16 @@
         elif isinstance(frame, Credit):
             self.credit.add(frame.n_bytes)
         else:
-            raise FrameError(f"{type(frame).__name__} is no part of an answer")
+            raise FrameError(f"unexpected {type(frame).__name__} in an answer")
         return False
 
     @property
-    def may_be_resent(self) -> bool:
-        """Return whether the whole request is here and no answer has begun."""
+    def is_resendable(self) -> bool:
+        """Return whether the whole request is buffered and no answer has started."""
         return self._request is not None and not self.answer.done()
 
     def resend(self, stream: FrameStream, start_id: int, now_ms: int) -> None:
-        """Send the request once more, where it did not run or may run twice."""
+        """Resend a request that did not run or is idempotent."""
         self.stream = stream
         self.start_id = start_id
         self.credit = CreditGate()
@@ -118,44 +118,44 @@
         self.head = replace(self.head, time_left_ms=time_left_ms)
         stream.send(self.head, *self._request)
 
-    def ask_again(self, stream: FrameStream) -> None:
-        """Ask on another stream, and skip what of the answer is here already."""
+    def query_outcome(self, stream: FrameStream) -> None:
+        """Query the call on a new stream, and skip answer bytes received before."""
         self.stream = stream
         stream.send(CallQuery(self.head.call_id))
-        self._n_skipped_bytes = self._n_received_bytes
+        self._n_bytes_to_skip = self._n_received_bytes
 
     def stop_sending(self) -> None:
-        """Stop the request's body, as its stream is lost or nobody wants it."""
-        if self._sender is not None:
-            self._sender.cancel()
+        """Stop sending the request body, as the stream or the caller is gone."""
+        if self._body_task is not None:
+            self._body_task.cancel()
 
     def fail(self, failure: Failure) -> None:
-        """End the call for its reader, whether or not the answer had begun."""
+        """Fail the call for its reader, before or after the head of the answer."""
         error = PepperstairError(failure)
         self.stop_sending()
         if self.answer.done():
             self.body.fail(error)
             return
         self.answer.set_exception(error)
-        # The caller may have left already; an error that nobody reads is no
-        # fault and must not be reported by the loop as one.
+        # The caller may already have left. Retrieving the exception keeps the
+        # event loop from logging it as never retrieved.
         self.answer.exception()
 
-    def _take_part(self, data: bytes) -> None:
-        skipped = min(self._n_skipped_bytes, len(data))
-        self._n_skipped_bytes -= skipped
-        fresh = data[skipped:] if skipped else data
-        if fresh:
-            self._n_received_bytes += len(fresh)
-            take_part(self.body, fresh)
+    def _receive_part(self, data: bytes) -> None:
+        n_skipped = min(self._n_bytes_to_skip, len(data))
+        self._n_bytes_to_skip -= n_skipped
+        new_data = data[n_skipped:] if n_skipped else data
+        if new_data:
+            self._n_received_bytes += len(new_data)
+            receive_part(self.body, new_data)
 
     async def _send_body(
         self, stream: FrameStream, part: bytes, body: BodyBuffer
     ) -> None:
-        """Send the request's body, and take the call back where it is cut.
+        """Send the request body, and fail the call if the body is truncated.
 
-        The target would otherwise wait for the rest of it until its timeout,
-        with a slot taken all the while.
+        Otherwise the target would wait for the rest until its timeout and occupy a
+        slot meanwhile.
         """
         call_id = self.head.call_id
         try:
@@ -164,8 +164,8 @@
         except ConnectionResetError:
             return
         except (ConnectionLostError, PepperstairError):
-            self._sender = None
-            self.fail(Failure(ErrorKind.CANCELLED, "the request's body was cut"))
+            self._body_task = None
+            self.fail(Failure(ErrorKind.CANCELLED, "request body truncated"))
 
 
 __all__ = ["OutgoingCall"]
--- a/packages/pepperstair-peers/pepperstair_peers/data/server.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/server.py
@@ -1,4 +1,4 @@
-"""The receiving side of calls: runs them beside the target and answers."""
+"""The receiving side of calls, which runs them at local targets and answers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 from ..stream import FrameStream
 from .fence import StreamFence
-from .incoming import IncomingCall, TargetLoad, failed, send_kept
+from .incoming import IncomingCall, TargetLoad, call_failed_frame, send_kept_answer
 from .sending import UNPACED
 
 log = structlog.get_logger(__name__)
@@ -39,48 +39,48 @@
 CallRunner = Callable[[CallHead, BodyBuffer], Awaitable[StreamedResponse]]
 Loads = tuple[tuple[str, int, int], ...]
 
-_ACTIVE_HEARTBEATS: Final = 5
-_ABANDONED_HEARTBEATS: Final = 120
+_N_ACTIVE_HEARTBEATS: Final = 5
+_N_IDLE_HEARTBEATS: Final = 120
 _RETRY_AFTER_MS: Final = 1000
 
-_ANSWERS: Final = {
+_FAILURES_BY_STATE: Final = {
     RunState.NOT_KEPT: Failure(
-        ErrorKind.OUTCOME_UNKNOWN, "it ran, its answer was not kept", run=Run.YES
+        ErrorKind.OUTCOME_UNKNOWN, "the call ran; its answer was not kept", run=Run.YES
     ),
     RunState.NEVER_RUN: Failure(
-        ErrorKind.PEER_UNREACHABLE, "the request never arrived", run=Run.NO
+        ErrorKind.PEER_UNREACHABLE, "the request was not received", run=Run.NO
     ),
-    RunState.UNKNOWN: Failure(ErrorKind.OUTCOME_UNKNOWN, "the call is forgotten"),
+    RunState.UNKNOWN: Failure(ErrorKind.OUTCOME_UNKNOWN, "the call record has expired"),
 }
 
 
 class _IncomingStream:
-    """A data stream that another daemon opened, and the calls on it."""
+    """A data stream opened by another daemon, with its calls."""
 
     def __init__(self, stream: FrameStream, hello: Hello, now_ms: int) -> None:
         self.stream = stream
         self.sender = Sender(hello.vm, hello.start_id)
         self.sequence = hello.sequence
         self.calls: dict[int, IncomingCall] = {}
-        self.active_ms = now_ms
+        self.last_active_ms = now_ms
 
-    def lose(self) -> None:
-        """Let the calls know that their stream is gone."""
+    def on_stream_lost(self) -> None:
+        """Detach the calls from the lost stream."""
         calls = list(self.calls.values())
         self.calls.clear()
         for call in calls:
-            if call.asker is self.stream:
-                call.asker = None
+            if call.query_stream is self.stream:
+                call.query_stream = None
             if call.stream is self.stream:
-                call.lose()
+                call.on_stream_lost()
 
 
 class CallServer:
-    """Runs the calls of every incoming data stream.
+    """Runs the calls received on all incoming data streams.
 
-    `loads` returns the requests that each local target has in flight and
-    waiting; they go with the heartbeats. `was_paused` returns whether this
-    process was paused until just now. `pacer` spreads large answers over the link.
+    `loads` returns the numbers of requests in flight and queued at each local
+    target; heartbeats carry them. `was_paused` returns whether a pause of this
+    process has just ended. `pacer` limits the rate of large answers on the link.
     """
 
     def __init__(
@@ -107,16 +107,16 @@
 
     @property
     def n_in_flight(self) -> int:
-        """Return the calls whose answers are not sent yet."""
+        """Return the number of calls whose answers are not sent yet."""
         return len(self._running)
 
     def take_stream(self, stream: FrameStream, hello: Hello) -> None:
-        """Serve the calls that arrive on a stream, in place of an earlier one."""
+        """Serve the calls of a stream, which replaces an earlier one of its sender."""
         incoming = _IncomingStream(stream, hello, self._clock_ms())
         if not self._fence.admit(incoming.sender, hello.sequence):
             stream.close()
             return
-        self._drop(incoming.sender)
+        self._drop_stream(incoming.sender)
         self._streams[incoming.sender] = incoming
         stream.may_read = lambda: not self.was_paused()
         stream.on_frame = lambda frame: self._on_frame(incoming, frame)
@@ -125,81 +125,81 @@
             self._schedule()
 
     def reset_streams(self) -> None:
-        """Break every stream unread, after a pause of this process.
+        """Close every stream without reading it, after a pause of this process.
 
-        What the kernel kept meanwhile are calls whose callers have long given
-        up; run now, a booking would be made that its caller was told of as
-        unknown and has made elsewhere.
+        Calls that the kernel buffered meanwhile have long been given up by their
+        callers. Running them now could repeat a non-idempotent request, such as a
+        booking, whose caller received `outcome_unknown` and has sent it elsewhere.
         """
         for sender in list(self._streams):
-            self._drop(sender)
+            self._drop_stream(sender)
 
     def close(self) -> None:
         """Stop the heartbeats."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _drop(self, sender: Sender) -> None:
+    def _drop_stream(self, sender: Sender) -> None:
         incoming = self._streams.pop(sender, None)
         if incoming is not None:
             incoming.stream.close()
-            incoming.lose()
+            incoming.on_stream_lost()
 
     def _on_closed(self, incoming: _IncomingStream) -> None:
         if self._streams.get(incoming.sender) is incoming:
             del self._streams[incoming.sender]
-        incoming.lose()
+        incoming.on_stream_lost()
 
     def _on_frame(self, incoming: _IncomingStream, frame: Any) -> None:
         if isinstance(frame, CallHead):
-            incoming.active_ms = self._clock_ms()
-            self._start(incoming, frame)
+            incoming.last_active_ms = self._clock_ms()
+            self._start_call(incoming, frame)
         elif isinstance(frame, CallQuery):
-            incoming.active_ms = self._clock_ms()
+            incoming.last_active_ms = self._clock_ms()
             self._answer_query(incoming, frame.call_id)
         elif isinstance(frame, CallsDone):
             for call_id in frame.call_ids:
                 self._memory.release(CallKey(incoming.sender, call_id))
         elif (call_id := getattr(frame, "call_id", None)) is None:
-            raise FrameError(f"{type(frame).__name__} has no place on a data stream")
+            raise FrameError(f"unexpected {type(frame).__name__} on a data stream")
         elif (call := incoming.calls.get(call_id)) is not None:
-            call.take(frame)
+            call.receive(frame)
         else:
             self.n_dropped_frames += 1
 
-    def _start(self, incoming: _IncomingStream, head: CallHead) -> None:
+    def _start_call(self, incoming: _IncomingStream, head: CallHead) -> None:
         key = CallKey(incoming.sender, head.call_id)
         if not head.is_idempotent:
             refusal = self._admit(key, head.time_left_ms, incoming.sequence)
             if refusal is not None:
-                incoming.stream.send(failed(head.call_id, refusal))
+                incoming.stream.send(call_failed_frame(head.call_id, refusal))
                 return
         call = IncomingCall(key, head, incoming.stream, self._load_of, self._pacer)
         incoming.calls[head.call_id] = call
         self._running[key] = call
         self.n_calls += 1
         call.task = asyncio.get_running_loop().create_task(self._answer(call))
-        # A callback, as a call that is reset before its task has taken the
-        # first step never enters the coroutine, and would be remembered as
-        # running for ever.
-        call.task.add_done_callback(lambda done: self._end(incoming, call))
+        # This is a done callback because the coroutine of a call that is reset
+        # before its task's first step never starts. Clean-up in the coroutine would
+        # not run, and the call would be recorded as running forever.
+        call.task.add_done_callback(lambda done: self._finish_call(incoming, call))
 
     def _admit(self, key: CallKey, time_left_ms: int, sequence: int) -> Failure | None:
-        """Remember a non-idempotent call, or say why it may not run."""
+        """Record a non-idempotent call, or return the reason why it may not run."""
         now_ms = self._clock_ms()
         admission = self._memory.begin(key, sequence, time_left_ms, now_ms)
         if admission is Admission.TAKEN:
             return None
         if admission is Admission.FULL:
-            detail = "too many calls to remember"
+            detail = "the record of recent calls is full"
             return Failure(ErrorKind.OVERLOADED, detail, _RETRY_AFTER_MS, Run.NO)
-        return Failure(ErrorKind.OUTCOME_UNKNOWN, "the call came before")
+        return Failure(ErrorKind.OUTCOME_UNKNOWN, "the call id was received before")
 
-    def _end(self, incoming: _IncomingStream, call: IncomingCall) -> None:
-        """Keep the answer of a call that is over, and send it to who asked."""
+    def _finish_call(self, incoming: _IncomingStream, call: IncomingCall) -> None:
+        """Record the answer of a finished call, and send it to a waiting query."""
         call_id = call.head.call_id
         incoming.calls.pop(call_id, None)
-        # An idempotent call that was sent again has taken the place already.
+        # A resent idempotent call may already have replaced this entry.
         if self._running.get(call.key) is call:
             del self._running[call.key]
         if not call.is_remembered:
@@ -208,12 +208,12 @@
         if call.task.cancelled():
             kept = KeptAnswer.of_failure(Failure(ErrorKind.CANCELLED))
         self._memory.finish(call.key, kept)
-        if call.asker is not None:
+        if call.query_stream is not None:
             self._streams[incoming.sender].calls.pop(call_id, None)
-            self._send_recalled(self._streams[incoming.sender], call.key)
+            self._send_recorded_outcome(self._streams[incoming.sender], call.key)
 
     async def _answer(self, call: IncomingCall) -> None:
-        """Run a call and send its answer, or the failure that ended it."""
+        """Run a call, and send its answer or the failure that ended it."""
         call.kept = await self._run_and_relay(call)
 
     async def _run_and_relay(self, call: IncomingCall) -> KeptAnswer | None:
@@ -243,38 +243,40 @@
         key = CallKey(incoming.sender, call_id)
         call = self._running.get(key)
         if call is None:
-            self._send_recalled(incoming, key)
+            self._send_recorded_outcome(incoming, key)
             return
-        call.asker = incoming.stream
+        call.query_stream = incoming.stream
         incoming.calls[call_id] = call
 
-    def _send_recalled(self, asker: _IncomingStream, key: CallKey) -> None:
-        """Send what is known of a call that is over, or never was."""
-        recall = self._memory.look_up(key, asker.sequence, self._clock_ms())
+    def _send_recorded_outcome(self, incoming: _IncomingStream, key: CallKey) -> None:
+        """Send the recorded outcome of a call that is not running."""
+        recall = self._memory.look_up(key, incoming.sequence, self._clock_ms())
         if recall.answer is not None:
-            send_kept(asker.stream, key.call_id, recall.answer)
+            send_kept_answer(incoming.stream, key.call_id, recall.answer)
         else:
-            asker.stream.send(failed(key.call_id, _ANSWERS[recall.state]))
+            incoming.stream.send(
+                call_failed_frame(key.call_id, _FAILURES_BY_STATE[recall.state])
+            )
 
     def _schedule(self) -> None:
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(self._heartbeat_ms / 1000, self._beat)
+        self._timer = loop.call_later(self._heartbeat_ms / 1000, self._send_heartbeats)
 
-    def _beat(self) -> None:
-        """Say on each stream in use that this process lives, and how loaded it is.
+    def _send_heartbeats(self) -> None:
+        """Send a heartbeat with the target loads on each stream in use.
 
-        Streams that carried no call lately get nothing, as each daemon may have
-        one to every other one.
+        Streams without recent calls are skipped, as each daemon may have one to
+        every other daemon.
         """
         now_ms = self._clock_ms()
         heartbeat = Heartbeat(0, self.loads())
-        active_ms = _ACTIVE_HEARTBEATS * self._heartbeat_ms
-        abandoned_ms = _ABANDONED_HEARTBEATS * self._heartbeat_ms
+        active_limit_ms = _N_ACTIVE_HEARTBEATS * self._heartbeat_ms
+        idle_limit_ms = _N_IDLE_HEARTBEATS * self._heartbeat_ms
         for incoming in list(self._streams.values()):
-            idle_ms = now_ms - incoming.active_ms
-            if incoming.calls or idle_ms < active_ms:
+            idle_ms = now_ms - incoming.last_active_ms
+            if incoming.calls or idle_ms < active_limit_ms:
                 incoming.stream.send(heartbeat)
-            elif idle_ms > abandoned_ms:
+            elif idle_ms > idle_limit_ms:
                 incoming.stream.close()
         self._schedule()
 
--- a/packages/pepperstair-peers/pepperstair_peers/dialling.py
+++ b/packages/pepperstair-peers/pepperstair_peers/dialling.py
@@ -1,4 +1,4 @@
-"""Opening a stream to another daemon and learning who it is."""
+"""Opens streams to other daemons and performs the Hello/Welcome handshake."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Dialler(Struct, frozen=True):
-    """What every stream of one kind is opened with."""
+    """Opens streams of one kind to other daemons."""
 
     identity: Identity
     stream_kind: StreamKind
@@ -34,24 +34,24 @@
     async def dial(
         self, address: str, on_welcome: Callable[[FrameStream, Welcome], None]
     ) -> FrameStream:
-        """Open a stream, or raise OSError or TimeoutError.
+        """Open a stream and return it, or raise OSError or TimeoutError.
 
-        `on_welcome` is called as soon as the other side has said who it is,
-        before any frame that follows is handed on. Without a limit on the time
-        an address that swallows packets would keep its caller for minutes.
+        `on_welcome` is called with the peer's Welcome frame before any later frame
+        is delivered. The timeout is needed because a connection attempt to an
+        address that silently drops packets would block the caller for minutes.
         """
         timeout_ms = max(self.timeout_ms, _TIMEOUT_MIN_MS)
         host, port = parse_address(address)
         async with asyncio.timeout(timeout_ms / 1000):
             stream = await open_stream(host, port, self.frame_max_bytes, self.counters)
             try:
-                await self._greet(stream, on_welcome)
+                await self._handshake(stream, on_welcome)
             except BaseException:
                 stream.close()
                 raise
         return stream
 
-    async def _greet(
+    async def _handshake(
         self, stream: FrameStream, on_welcome: Callable[[FrameStream, Welcome], None]
     ) -> None:
         welcomed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -69,7 +69,7 @@
                 self.counters.n_rejected += 1
                 log.warning(Event.FRAME_REJECTED, reason=reason)
             if not welcomed.done():
-                welcomed.set_exception(ConnectionResetError("closed unwelcomed"))
+                welcomed.set_exception(ConnectionResetError("closed before Welcome"))
 
         stream.on_frame = on_first_frame
         stream.closed_callbacks.append(on_closed)
--- a/packages/pepperstair-peers/pepperstair_peers/identity.py
+++ b/packages/pepperstair-peers/pepperstair_peers/identity.py
@@ -1,4 +1,4 @@
-"""Who this daemon is towards other daemons."""
+"""The identity that this daemon presents to other daemons."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 class Identity(Struct, frozen=True):
-    """The name and address of a daemon and the id of its process.
+    """Identifies a daemon by VM name, peer address and the start id of its process.
 
-    `silence_ms` is how long what it sends may be held up on its own link.
+    `silence_ms` is the longest time for which the daemon's own link may delay the
+    frames that it sends.
     """
 
     vm: str
@@ -24,7 +25,7 @@
     _sequences: Iterator[int] = field(default_factory=lambda: itertools.count(1))
 
     def hello(self, stream_kind: StreamKind) -> Hello:
-        """Return the frame that opens the next stream from this daemon."""
+        """Return the Hello frame for the next stream that this daemon opens."""
         return Hello(
             PROTOCOL_VERSION,
             stream_kind,
@@ -35,7 +36,7 @@
         )
 
     def welcome(self) -> Welcome:
-        """Return the frame that answers a stream opened to this daemon."""
+        """Return the Welcome frame that answers the Hello of another daemon."""
         return Welcome(self.vm, self.start_id, self.silence_ms)
 
 
--- a/packages/pepperstair-peers/pepperstair_peers/listener.py
+++ b/packages/pepperstair-peers/pepperstair_peers/listener.py
@@ -1,4 +1,4 @@
-"""The listening side: takes streams and hands each to what it is for."""
+"""Accepts streams from other daemons and dispatches them by stream kind."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class PeerListener:
-    """Listens for other daemons; each stream has to open with a Hello."""
+    """Accepts streams from other daemons; each must open with a Hello frame."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self.n_rejected = 0
 
     async def listen(self, host: str, port: int) -> int:
-        """Start listening and return the port."""
+        """Start listening and return the bound port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: FrameStream(self._frame_max_bytes, self._on_opened),
@@ -53,7 +53,7 @@
         return self._server.sockets[0].getsockname()[1]
 
     def close(self) -> None:
-        """Stop listening and close every stream once what it holds is sent."""
+        """Stop listening, and close every stream after its buffered data is sent."""
         if self._server is not None:
             self._server.close()
         for stream in list(self._streams):
@@ -61,15 +61,16 @@
 
     def _on_opened(self, stream: FrameStream) -> None:
         self._streams.add(stream)
-        # A client that connects and says nothing would hold its socket for
-        # ever, until the process has no file descriptor left for real peers.
+        # Without this timeout, clients that connect and send nothing would hold
+        # their sockets forever and exhaust the process's file descriptors.
         loop = asyncio.get_running_loop()
         timer = loop.call_later(_HELLO_TIMEOUT_S, stream.close)
 
         def on_first_frame(frame: Any) -> None:
             timer.cancel()
-            if not self._is_welcome(frame):
-                self._reject(stream, f"not a Hello: {type(frame).__name__}")
+            if not self._is_valid_hello(frame):
+                reason = f"expected Hello v{PROTOCOL_VERSION}: {type(frame).__name__}"
+                self._reject(stream, reason)
                 return
             stream.counters = self._counters[frame.stream_kind]
             stream.send(self._identity.welcome())
@@ -84,7 +85,7 @@
         stream.on_frame = on_first_frame
         stream.closed_callbacks.append(on_closed)
 
-    def _is_welcome(self, frame: Any) -> bool:
+    def _is_valid_hello(self, frame: Any) -> bool:
         return isinstance(frame, Hello) and frame.protocol_version == PROTOCOL_VERSION
 
     def _reject(self, stream: FrameStream, reason: str) -> None:
--- a/packages/pepperstair-peers/pepperstair_peers/stream.py
+++ b/packages/pepperstair-peers/pepperstair_peers/stream.py
@@ -17,13 +17,14 @@
 
 
 class FrameStream(ReceivingProtocol):
-    """Sends and receives frames; the owner sets the two callbacks.
-
-    `on_frame` is called for each frame, and may raise FrameError for one that
-    has no place on the stream. `may_read` is asked before bytes that arrived are
-    looked at; where it says no, its owner has closed the stream. Every function
-    in `closed_callbacks` is called once, with the reason where the stream was
-    closed for undecodable or oversized frames.
+    """Sends and receives frames; its owner sets the callbacks.
+
+    `on_frame` is called for each received frame, and may raise FrameError for a
+    frame that is not valid on the stream. `may_read` is called before received
+    bytes are decoded; if it returns False, the bytes are discarded, and the owner
+    has closed the stream. Every function in `closed_callbacks` is called once with
+    the reason: the error text if an undecodable, oversized or invalid frame closed
+    the stream, otherwise an empty string.
     """
 
     def __init__(
@@ -59,8 +60,8 @@
                 if self.is_closed:
                     return
         except FrameError as error:
-            # A peer of another version, or not a peer at all: closing this
-            # stream alone keeps the others, and the log names the sender.
+            # The sender runs another version or is not a peer. Only this stream
+            # is closed; the closed callbacks log the reason.
             self._reason = str(error)
             self.close()
 
@@ -79,7 +80,7 @@
         self.gate.open()
 
     def send(self, *frames: Any) -> None:
-        """Write frames in one piece; they are lost where the stream is closed."""
+        """Send frames in a single write; on a closed stream they are discarded."""
         if self.is_closed:
             return
         encoded = [encode_frame(frame) for frame in frames]
@@ -88,12 +89,12 @@
         self._transport.write(b"".join(encoded))
 
     def finish(self) -> None:
-        """Close the stream once what was sent on it has left this process."""
+        """Close the stream after its buffered data is sent."""
         if self._transport is not None:
             self._transport.close()
 
     def close(self) -> None:
-        """Break the stream."""
+        """Abort the connection and discard its buffered data."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -101,7 +102,7 @@
 async def open_stream(
     host: str, port: int, frame_max_bytes: int, counters: FrameCounters
 ) -> FrameStream:
-    """Connect to another daemon, or raise OSError."""
+    """Connect to another daemon and return the stream, or raise OSError."""
     loop = asyncio.get_running_loop()
     _, stream = await loop.create_connection(
         lambda: FrameStream(frame_max_bytes, lambda opened: None), host, port
--- a/tests/link.py
+++ b/tests/link.py
@@ -1,4 +1,4 @@
-"""A TCP relay on loopback that stands for a link, and can go wrong like one."""
+"""A TCP relay on loopback that simulates a link and its faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LinkFault(StrEnum):
-    """What may happen to a link."""
+    """The faults that a link can simulate."""
 
     NONE = "none"
     DELAY = "delay"
@@ -22,12 +22,12 @@
 
 
 class Link:
-    """Carries connections to one address.
+    """Relays TCP connections to one address.
 
-    A cut holds back what is sent until it is healed, as the network's own
-    retransmission would. Silence is for good, but only for the connections of
-    that moment: both ends stay open, and new ones work. Without a port the system
-    chooses one, and `address` is known once it listens.
+    A cut delays data until the link is healed, as TCP retransmission would. Silence
+    is permanent, but affects only the connections open at that moment: both ends
+    stay open, and new connections work. With port 0 the system chooses the port, and
+    `address` is set by `listen`.
     """
 
     def __init__(self, target: str, port: int = 0) -> None:
@@ -38,37 +38,39 @@
         self._fault = LinkFault.NONE
         self._healed = asyncio.Event()
         self._healed.set()
-        self._n_silenced = 0
+        self._n_silent_connections = 0
         self._n_connections = 0
         self.delay_s = 0.0
         self.address = f"127.0.0.1:{port}" if port else ""
 
     async def listen(self) -> str:
-        """Begin to take connections and return the address."""
-        self._server = await asyncio.start_server(self._carry, "127.0.0.1", self._port)
+        """Start accepting connections and return the address."""
+        self._server = await asyncio.start_server(
+            self._forward_connection, "127.0.0.1", self._port
+        )
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
         return self.address
 
     def close(self) -> None:
-        """Break every connection and stop listening."""
+        """Abort every connection and stop listening."""
         self._server.close()
         self._reset()
 
     def fail(self, fault: LinkFault, delay_s: float = 0.0) -> None:
-        """Let something go wrong from now on."""
+        """Simulate a fault from now on; `delay_s` applies to `DELAY`."""
         self._fault = fault
         if fault is LinkFault.RESET:
             self._reset()
         elif fault is LinkFault.SILENCE:
-            self._n_silenced = self._n_connections
+            self._n_silent_connections = self._n_connections
         elif fault is LinkFault.DELAY:
             self.delay_s = delay_s
         else:
             self._healed.clear()
 
     def heal(self) -> None:
-        """Carry everything again, also what a cut has held back."""
+        """End the fault and forward the data that a cut held back."""
         self._fault = LinkFault.NONE
         self.delay_s = 0.0
         self._healed.set()
@@ -77,7 +79,7 @@
         for transport in list(self._transports):
             transport.abort()
 
-    async def _carry(
+    async def _forward_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._n_connections += 1
@@ -97,10 +99,10 @@
                 self._copy(number, far_reader, writer, is_inward=False),
             )
         except asyncio.CancelledError:
-            # The run is over. Passed on, this would be logged for each connection.
+            # The test has ended. If re-raised, this would be logged per connection.
             return
         except OSError:
-            # One end is gone; the other is to see a connection that broke.
+            # One end is closed; the other must see an aborted connection.
             for transport in transports:
                 transport.abort()
         finally:
@@ -121,10 +123,10 @@
                 await self._healed.wait()
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
-            if number > self._n_silenced:
+            if number > self._n_silent_connections:
                 writer.write(data)
                 await writer.drain()
-        if number > self._n_silenced:
+        if number > self._n_silent_connections:
             writer.close()
 
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Daemons' sides of data streams in one process, joined through a relay."""
+"""Client and server ends of data streams in one process, joined by a TCP relay."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 def call_head(
     call_id: int, is_idempotent: bool = False, has_body: bool = False
 ) -> CallHead:
-    """Return the head of a call."""
+    """Return a call head with the given id and test defaults."""
     return CallHead(
         call_id=call_id,
         request_id=f"request-{call_id}",
@@ -53,13 +53,13 @@
 
 
 def response_of(data: bytes) -> StreamedResponse:
-    """Return a whole response."""
+    """Return a complete response with the given body."""
     return StreamedResponse(200, (), BodyBuffer.of(data), lambda: None)
 
 
 @dataclass
 class Server:
-    """The side beside the targets; `runs` lists the calls that were run."""
+    """The daemon at the target; `runs` lists the ids of the calls that it ran."""
 
     run: CallRunner
     address: str = ""
@@ -69,11 +69,11 @@
     )
 
     def sent_frames(self) -> dict[str, int]:
-        """Return how many frames and bytes of each kind were sent for calls."""
+        """Return the frames and bytes sent on data streams, by frame type."""
         return dict(self.frame_counters[StreamKind.DATA].iter_named("data"))
 
     async def start(self, address: str = "127.0.0.1:0") -> None:
-        """Listen, as a process of its own start id."""
+        """Start listening with a new start id, like a new process."""
         self.calls = CallServer(self._count_and_run, 1000, HEARTBEAT_MS, monotonic_ms)
         self.listener = PeerListener(
             Identity("server", next(_start_ids), address),
@@ -85,7 +85,7 @@
         self.address = f"{host}:{await self.listener.listen(host, port)}"
 
     def kill(self) -> None:
-        """Break every stream and stop listening, as the end of a process does."""
+        """Close every stream and stop listening, as when the process is killed."""
         self.listener.close()
         self.calls.close()
         self.calls.reset_streams()
@@ -98,7 +98,7 @@
 
 
 def make_client() -> CallClient:
-    """Return the side of the caller's daemon."""
+    """Return the call client of the caller's daemon."""
     identity = Identity("client", next(_start_ids), "127.0.0.1:1")
     return CallClient(
         identity, FRAME_MAX_BYTES, FrameCounters(), HEARTBEAT_MS, monotonic_ms
@@ -106,36 +106,36 @@
 
 
 class Relay:
-    """A TCP relay whose open connections can fall silent while new ones work."""
+    """A TCP relay whose open connections can be stalled while new ones work."""
 
     def __init__(self, address: str) -> None:
-        self._to = parse_address(address)
+        self._upstream = parse_address(address)
         self._gates: list[asyncio.Event] = []
         self._writers: list[asyncio.StreamWriter] = []
         self.address = ""
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening on a port chosen by the system."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def silence(self) -> None:
-        """Stop forwarding on all connections that are open now."""
+        """Stop forwarding on all connections that are currently open."""
         for gate in self._gates:
             gate.clear()
 
-    def thaw(self) -> None:
-        """Forward again, what was held back first."""
+    def resume(self) -> None:
+        """Forward again, starting with the data held back."""
         for gate in self._gates:
             gate.set()
 
     def cut(self) -> None:
-        """Break every connection."""
+        """Abort every connection."""
         for writer in self._writers:
             writer.transport.abort()
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop listening and abort every connection."""
         self._server.close()
         self.cut()
 
@@ -146,16 +146,19 @@
         gate.set()
         self._gates.append(gate)
         try:
-            to_reader, to_writer = await asyncio.open_connection(*self._to)
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                *self._upstream
+            )
         except OSError:
             writer.transport.abort()
             return
-        self._writers += [writer, to_writer]
+        self._writers += [writer, upstream_writer]
         await asyncio.gather(
-            self._pump(reader, to_writer, gate), self._pump(to_reader, writer, gate)
+            self._forward(reader, upstream_writer, gate),
+            self._forward(upstream_reader, writer, gate),
         )
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -171,13 +174,13 @@
 
 
 async def failure_of(awaitable: Awaitable[object]) -> Failure:
-    """Return the failure that something ends with."""
+    """Return the failure with which an awaitable ends; other outcomes are errors."""
     try:
         async with asyncio.timeout(10):
             await awaitable
     except PepperstairError as error:
         return error.failure
-    raise AssertionError("it did not fail")
+    raise AssertionError("expected a PepperstairError")
 
 
 __all__ = [
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -1,4 +1,4 @@
-"""Membership on real streams."""
+"""The control plane on TCP streams."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from .peers import Relay, wait_for
 
 MEMBERS = MembersSettings(heartbeat_ms=40, n_heartbeats_missed=4, suspicion_ms=120)
-# Leaves time between the new stream and the suspicion, also on a busy machine.
+# Leaves enough time between the new stream and the suspicion on a loaded machine.
 SLOW_MEMBERS = MembersSettings(heartbeat_ms=200, suspicion_ms=600)
 
 
 class Daemon:
-    """The control side of one daemon, in this process."""
+    """The control plane of one daemon, run in this process."""
 
     def __init__(
         self, vm: str, incarnation: int = 1, members: MembersSettings = MEMBERS
@@ -35,7 +35,7 @@
         self.n_paused = 0
 
     async def start(self, seeds: tuple[str, ...], with_relay: bool = False) -> None:
-        """Listen and join, behind a relay where one is asked for."""
+        """Listen and join the fleet, advertising a relay's address if `with_relay`."""
         counters = {kind: FrameCounters() for kind in StreamKind}
         take = {StreamKind.CONTROL: lambda *opened: self.plane.take_stream(*opened)}
         listening = Identity(self.vm, self.incarnation, "")
@@ -62,18 +62,18 @@
         self.plane.start()
 
     def stop(self) -> None:
-        """End as a killed process does."""
+        """Close everything without a departure, as when the process is killed."""
         self.plane.close()
         self.listener.close()
         self.relay.close()
 
     def state_of(self, vm: str) -> MemberState | None:
-        """Return how this daemon sees another one."""
+        """Return the state of a VM in this daemon's directory, or None."""
         member = self.directory.get(vm)
         return None if member is None else member.state
 
-    def knows(self, vm: str) -> bool:
-        """Return whether another daemon is known and alive."""
+    def sees_alive(self, vm: str) -> bool:
+        """Return whether a VM is alive in this daemon's directory."""
         return self.state_of(vm) is MemberState.ALIVE
 
     def _count_pause(self) -> None:
@@ -84,7 +84,7 @@
 async def running(
     *vms: str, with_relay: bool = False, members: MembersSettings = MEMBERS
 ) -> AsyncIterator[list[Daemon]]:
-    """Yield daemons that all know each other."""
+    """Yield running daemons, each of which sees all others as alive."""
     daemons: list[Daemon] = []
     try:
         for vm in vms:
@@ -92,7 +92,7 @@
             seeds = tuple(other.plane_address for other in daemons[:1])
             await daemon.start(seeds, with_relay)
             daemons.append(daemon)
-        await wait_for(lambda: all(d.knows(vm) for d in daemons for vm in vms))
+        await wait_for(lambda: all(d.sees_alive(vm) for d in daemons for vm in vms))
         yield daemons
     finally:
         for daemon in daemons:
@@ -100,8 +100,8 @@
         await asyncio.sleep(0)
 
 
-def test_killed_daemon_is_gone_and_its_successor_is_taken():
-    """A VM dies without a word, and a replacement starts under its name."""
+def test_killed_daemon_is_gone_and_its_successor_is_alive():
+    """A VM is killed without a departure, and its replacement has the same name."""
 
     async def scenario() -> None:
         async with running("a", "b", "c") as daemons:
@@ -117,7 +117,7 @@
     asyncio.run(scenario())
 
 
-def test_daemon_that_leaves_is_told_of_at_once():
+def test_departure_is_announced_immediately():
     async def scenario() -> None:
         async with running("a", "b", "c") as daemons:
             daemons[2].plane.leave()
@@ -129,7 +129,7 @@
 
 
 def test_silent_control_stream_is_replaced_without_a_suspicion():
-    """Something between two neighbours loses track of their connection."""
+    """A middlebox between two neighbours loses the state of their connection."""
 
     async def scenario() -> None:
         async with running("a", "b", with_relay=True, members=SLOW_MEMBERS) as daemons:
@@ -144,20 +144,20 @@
             frames: list[object] = []
             second.plane.on_configuration_frame = lambda vm, f: frames.append(f)
 
-            def is_heard() -> bool:
-                # Both ends dial anew; what is sent on the stream that gives
-                # way to the other one is lost, as the callbacks tell.
+            def is_frame_received() -> bool:
+                # Both ends dial again. Frames sent on the stream that loses the
+                # race are lost; the callbacks report the change of streams.
                 first.plane.send("b", Prune("lantern"))
                 return Prune("lantern") in frames
 
-            await wait_for(is_heard)
+            await wait_for(is_frame_received)
             assert seen <= {MemberState.ALIVE}
 
     asyncio.run(scenario())
 
 
-def test_paused_daemon_comes_back_with_a_new_incarnation():
-    """A VM is frozen past its lease; woken, it must not go on as if nothing was."""
+def test_paused_daemon_rejoins_with_a_new_incarnation():
+    """A VM resumes after a pause longer than its lease and must rejoin the fleet."""
 
     async def scenario() -> None:
         async with running("a", "b") as (first, second):
@@ -172,9 +172,9 @@
 
 
 def test_daemons_that_dial_each_other_at_once_keep_one_stream():
-    """Both ends of a new edge dial in the same moment, over and over.
+    """Two daemons repeatedly dial each other at the same time.
 
-    Each closing the stream that the other keeps would leave them with none.
+    If each closed the stream that the other one keeps, no stream would remain.
     """
 
     async def scenario() -> None:
@@ -185,8 +185,8 @@
                 for _ in range(20)
                 for daemon, other in ((first, second), (second, first))
             ]
-            # Streams are replaced for as long as dials go on: on a busy machine that
-            # was longer than the pause below.
+            # Streams are replaced as long as dials are in progress, which on a loaded
+            # machine takes longer than the sleep below.
             async with asyncio.timeout(10):
                 await asyncio.gather(*dials)
             await asyncio.sleep(0.05)
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,4 +1,4 @@
-"""Counts of sent frames."""
+"""Counters of sent frames."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from pepperstair_peers import FrameCounters
 
 
-def test_counts_are_kept_by_kind_of_frame():
+def test_frames_are_counted_by_type():
     counters = FrameCounters()
     counters.add(Heartbeat(1), 4)
     counters.add(Heartbeat(2), 5)
--- a/tests/test_data_streams.py
+++ b/tests/test_data_streams.py
@@ -1,4 +1,4 @@
-"""Calls between daemons while streams and processes fail."""
+"""Calls between daemons under stream and process failures."""
 
 from __future__ import annotations
 
@@ -36,23 +36,23 @@
 
 
 class Target:
-    """Answers with the request's body once it is let go."""
+    """Answers with the request's body as soon as `answer_allowed` is set."""
 
     def __init__(self) -> None:
-        self.may_answer = asyncio.Event()
-        self.may_answer.set()
+        self.answer_allowed = asyncio.Event()
+        self.answer_allowed.set()
         self.response: StreamedResponse | None = None
 
     async def run(self, head: CallHead, body: BodyBuffer) -> StreamedResponse:
-        """Read the request and answer it."""
+        """Read the whole request, wait until an answer is allowed and return it."""
         data = await body.read_all(100_000_000)
-        await self.may_answer.wait()
+        await self.answer_allowed.wait()
         return self.response or response_of(b"done " + data)
 
 
 @dataclass
-class Path:
-    """A caller's daemon, the relay and the daemon beside the target."""
+class CallPath:
+    """The caller's daemon, the relay, the target's daemon and the target."""
 
     target: Target
     server: Server
@@ -60,20 +60,20 @@
     client: CallClient
 
     def call(self, head: CallHead, data: bytes = b"") -> asyncio.Task[StreamedResponse]:
-        """Send a call through the relay."""
+        """Start sending a call through the relay."""
         running = self.client.run(self.relay.address, head, BodyBuffer.of(data))
         return asyncio.get_running_loop().create_task(running)
 
 
 @contextlib.asynccontextmanager
-async def open_path() -> AsyncIterator[Path]:
-    """Yield a path that works, and close it."""
+async def open_path() -> AsyncIterator[CallPath]:
+    """Yield a working call path, and close it afterwards."""
     target = Target()
     server = Server(target.run)
     await server.start()
     relay = Relay(server.address)
     await relay.start()
-    path = Path(target, server, relay, make_client())
+    path = CallPath(target, server, relay, make_client())
     try:
         yield path
     finally:
@@ -84,12 +84,12 @@
 
 
 async def read_whole(response: StreamedResponse) -> bytes:
-    """Read an answer to its end."""
+    """Return the whole body of an answer."""
     data = await response.body.read_all(100_000_000)
     return data or b""
 
 
-def test_call_and_small_body_are_one_write():
+def test_call_with_small_body_needs_no_credit_frames():
     async def scenario() -> None:
         async with open_path() as path:
             answer = await path.call(call_head(1, has_body=True), b"loot")
@@ -102,20 +102,20 @@
     asyncio.run(scenario())
 
 
-def test_answer_of_a_silent_stream_is_fetched_on_a_new_one():
-    """Something between two daemons loses track of their connection.
+def test_answer_is_queried_on_a_new_stream_after_silence():
+    """A middlebox between two daemons loses the state of their connection.
 
-    The award was made but its answer never arrives; asked again by id, the same
-    process gives the answer of the one run.
+    The call ran, but its answer never arrives. Queried by id, the same process returns
+    the answer of that single run.
     """
 
     async def scenario() -> None:
         async with open_path() as path:
-            path.target.may_answer.clear()
+            path.target.answer_allowed.clear()
             running = path.call(call_head(1, has_body=True), b"loot")
             await wait_for(lambda: path.server.runs == [1])
             path.relay.silence()
-            path.target.may_answer.set()
+            path.target.answer_allowed.set()
             async with asyncio.timeout(5):
                 assert await read_whole(await running) == b"done loot"
             assert path.server.runs == [1]
@@ -124,28 +124,28 @@
     asyncio.run(scenario())
 
 
-def test_run_in_progress_answers_on_the_new_stream():
-    """The stream is cut while the target still works on the booking."""
+def test_call_in_progress_is_answered_on_the_new_stream():
+    """The stream is aborted while the target still processes the call."""
 
     async def scenario() -> None:
         async with open_path() as path:
-            path.target.may_answer.clear()
+            path.target.answer_allowed.clear()
             running = path.call(call_head(1))
             await wait_for(lambda: path.server.runs == [1])
             path.relay.cut()
             await wait_for(lambda: path.client.n_replaced_streams == 1)
             await asyncio.sleep(0.05)
-            path.target.may_answer.set()
+            path.target.answer_allowed.set()
             assert await read_whole(await running) == b"done "
             assert path.server.runs == [1]
 
     asyncio.run(scenario())
 
 
-def test_answer_that_had_begun_goes_on_where_it_was_cut():
-    """The stream is lost in the middle of an answer that is then fetched whole.
+def test_interrupted_answer_continues_where_it_was_cut():
+    """The stream is lost during an answer that is then resent from its start.
 
-    What was read already must not come twice, and the end must not be missing.
+    Data that was already read must not be repeated, and the end must not be missing.
     """
 
     async def scenario() -> None:
@@ -160,22 +160,22 @@
             async with asyncio.timeout(5):
                 assert await read_whole(answer) == b"second"
 
-    async def _begun(path: Path, body: BodyBuffer) -> StreamedResponse:
+    async def _begun(path: CallPath, body: BodyBuffer) -> StreamedResponse:
         body.feed(b"first ")
         return await path.call(call_head(1))
 
     asyncio.run(scenario())
 
 
-def test_restarted_daemon_is_not_asked():
-    """The daemon dies after taking a booking and its VM starts another process.
+def test_restarted_daemon_is_not_queried():
+    """The daemon is killed after accepting a call, and its VM starts a new process.
 
-    That one knows nothing of the booking; if it were asked, it would deny it.
+    The new process has no record of the call and would report it as not run.
     """
 
     async def scenario() -> None:
         async with open_path() as path:
-            path.target.may_answer.clear()
+            path.target.answer_allowed.clear()
             running = path.call(call_head(1))
             await wait_for(lambda: path.server.runs == [1])
             path.server.kill()
@@ -192,12 +192,12 @@
 
 
 @pytest.mark.parametrize("is_idempotent", [False, True])
-def test_killed_daemon_leaves_no_false_no(is_idempotent):
-    """The daemon dies with a call that its target may have run."""
+def test_call_at_a_killed_daemon_is_not_reported_as_not_run(is_idempotent):
+    """The daemon is killed with a call in flight that its target may have run."""
 
     async def scenario() -> None:
         async with open_path() as path:
-            path.target.may_answer.clear()
+            path.target.answer_allowed.clear()
             running = path.call(call_head(1, is_idempotent))
             await wait_for(lambda: path.server.runs == [1])
             path.server.kill()
@@ -217,7 +217,7 @@
     asyncio.run(scenario())
 
 
-def test_call_to_a_daemon_that_is_gone_was_not_run():
+def test_call_to_an_unreachable_daemon_was_not_run():
     async def scenario() -> None:
         async with open_path() as path:
             path.server.kill()
@@ -228,11 +228,11 @@
     asyncio.run(scenario())
 
 
-def test_head_that_arrives_after_the_question_does_not_run():
-    """A head is stuck on a silent stream; asked on a new one, it was not run.
+def test_call_head_that_arrives_after_its_query_does_not_run():
+    """A call head is delayed on a silent stream; the query reports it as not run.
 
-    When the old stream comes back to life, the head arrives after all. Run now,
-    it would be a booking that the member was told had not been made.
+    When the old stream resumes, the head arrives after all. If it ran then, the caller
+    would have received a wrong outcome, such as that a booking was not made.
     """
 
     async def scenario() -> None:
@@ -242,16 +242,16 @@
             running = path.call(call_head(2, has_body=True), bytes(400_000))
             failure = await failure_of(running)
             assert failure.has_run is Run.NO
-            path.relay.thaw()
+            path.relay.resume()
             await asyncio.sleep(0.1)
             assert path.server.runs == [1]
 
 
 @pytest.mark.parametrize("is_idempotent", [False, True])
-def test_call_that_never_arrived_is_sent_again(is_idempotent):
-    """A call is written to a stream that has fallen silent already.
+def test_call_that_was_not_received_is_resent(is_idempotent):
+    """A call is written to a stream that is already silent.
 
-    It did not run, and the daemon is well: its caller need not know.
+    It did not run and the daemon is healthy, so the caller must not see a failure.
     """
 
     async def scenario() -> None:
@@ -260,15 +260,15 @@
             path.relay.silence()
             head = call_head(2, is_idempotent, has_body=True)
             assert await read_whole(await path.call(head, b"loot")) == b"done loot"
-            path.relay.thaw()
+            path.relay.resume()
             await asyncio.sleep(0.1)
             assert path.server.runs == [1, 2]
 
     asyncio.run(scenario())
 
 
-def test_hello_of_an_earlier_stream_is_refused():
-    """A connection that was given up is read only after the one that replaced it."""
+def test_hello_of_an_earlier_stream_is_rejected():
+    """An abandoned connection is read only after the one that replaced it."""
 
     async def scenario() -> None:
         async with open_path() as path:
@@ -287,13 +287,13 @@
 
 
 async def open_raw(server: Server):
-    """Open a stream to a server without a client behind it."""
+    """Open a stream to a server without using a `CallClient`."""
     host, _, port = server.address.rpartition(":")
     return await open_stream(host, int(port), 262_144, FrameCounters())
 
 
-def test_frame_without_a_place_closes_its_stream_only():
-    """A peer of another version sends frames that this one can't place."""
+def test_invalid_frame_closes_its_stream_only():
+    """A peer of another version sends frames that are invalid on the stream."""
 
     async def scenario() -> None:
         async with open_path() as path:
@@ -307,34 +307,34 @@
     asyncio.run(scenario())
 
 
-def test_answer_for_a_call_that_is_gone_is_dropped():
-    """A caller gives up, and the answer comes while another call waits.
+def test_answer_to_an_abandoned_call_is_dropped():
+    """A caller gives up, and the answer arrives while another call is waiting.
 
-    Taken for the other one's, a member would be shown somebody else's booking.
+    If it were delivered to the other call, a user would see somebody else's data.
     """
 
     async def scenario() -> None:
         async with open_path() as path:
             await path.call(call_head(1, is_idempotent=True))
-            path.target.may_answer.clear()
+            path.target.answer_allowed.clear()
             running = path.call(call_head(2))
             await wait_for(lambda: path.server.runs == [1, 2])
             (incoming,) = path.server.calls._streams.values()
             stray = (AnswerHead(1, 200, ()), BodyPart(1, b"stray"), BodyEnd(1))
             incoming.stream.send(*stray)
             await wait_for(lambda: path.client.n_dropped_frames == len(stray))
-            path.target.may_answer.set()
+            path.target.answer_allowed.set()
             assert await read_whole(await running) == b"done "
 
     asyncio.run(scenario())
 
 
-def test_abandoned_call_is_cancelled_beside_the_target():
-    """A caller leaves; its slot must be free again for others."""
+def test_abandoned_call_is_cancelled_at_the_target():
+    """A caller cancels its call, whose slot must become free for others."""
 
     async def scenario() -> None:
         async with open_path() as path:
-            path.target.may_answer.clear()
+            path.target.answer_allowed.clear()
             running = path.call(call_head(1))
             await wait_for(lambda: path.server.runs == [1])
             running.cancel()
@@ -343,8 +343,8 @@
     asyncio.run(scenario())
 
 
-def test_cut_answer_never_looks_whole():
-    """The daemon beside the target dies in the middle of a map pack."""
+def test_truncated_answer_is_not_reported_as_complete():
+    """The target's daemon is killed while it sends a large answer."""
 
     async def scenario() -> None:
         async with open_path() as path:
@@ -360,8 +360,8 @@
     asyncio.run(scenario())
 
 
-def test_cut_request_never_looks_whole():
-    """A caller's connection breaks in the middle of its request."""
+def test_truncated_request_is_not_reported_as_complete():
+    """A caller's connection is aborted during its request."""
     seen: list[Exception] = []
 
     async def run(head: CallHead, body: BodyBuffer) -> StreamedResponse:
@@ -370,7 +370,7 @@
         except ConnectionLostError as error:
             seen.append(error)
             raise
-        raise AssertionError("the body looked whole")
+        raise AssertionError("the truncated body was read as complete")
 
     async def scenario() -> None:
         async with open_path() as path:
@@ -390,7 +390,7 @@
 
 
 def test_slow_reader_blocks_neither_memory_nor_an_urgent_call():
-    """A member reads a 64 MB file slowly beside a booking on the same stream."""
+    """A 64 MB file is read slowly while an urgent call uses the same stream."""
     n_bytes = 64 * 1024 * 1024
 
     async def feed(body: BodyBuffer, high_water: list[int]) -> None:
@@ -420,8 +420,8 @@
     asyncio.run(scenario())
 
 
-def test_paused_daemon_does_not_run_what_its_kernel_kept():
-    """A VM is frozen; callers give up; it wakes with their calls in its buffers."""
+def test_paused_daemon_does_not_run_calls_buffered_by_its_kernel():
+    """A VM resumes from a pause with the calls of timed-out callers in its buffers."""
 
     async def scenario() -> None:
         async with open_path() as path:
@@ -444,7 +444,7 @@
     asyncio.run(scenario())
 
 
-def test_loads_come_with_the_heartbeats():
+def test_heartbeats_carry_target_loads():
     async def scenario() -> None:
         async with open_path() as path:
             path.server.calls.loads = lambda: (("ledger-1", 3, 4),)
@@ -457,8 +457,8 @@
     asyncio.run(scenario())
 
 
-def test_reset_beside_its_head_leaves_nothing_running():
-    """A caller leaves at once, and both frames arrive together."""
+def test_call_reset_with_its_head_leaves_nothing_running():
+    """A caller cancels at once, so that the call head and reset arrive together."""
 
     async def scenario() -> None:
         async with open_path() as path:
