--- a/packages/pepperstair-platform/pepperstair_platform/__init__.py
+++ b/packages/pepperstair-platform/pepperstair_platform/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's table service and object store, as pepperstair uses them."""
+"""Client of the platform's table service and object store."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-platform/pepperstair_platform/acceptance.py
+++ b/packages/pepperstair-platform/pepperstair_platform/acceptance.py
@@ -1,9 +1,9 @@
-"""Acceptance of a change: validated whole, then committed in one transaction.
+"""Accepts changes: a validated document is committed in one transaction.
 
-The row of the change id decides what a change became. It is written in the
-same transaction as the head, so whoever finds it knows the outcome; where an
-answer was lost, a row that abandons the change is written in its place, so
-that a commit still on its way can no longer take effect.
+The row of the change id records the outcome of a change. It is written in the same
+transaction as the head, so a daemon that reads it knows the outcome. If the answer
+to a commit is lost, an `abandoned` row is written in its place, so that a commit
+still in transit can no longer take effect.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from .platform import Compare, Platform, Row
 from .rows import (
     abandoned_row,
-    bell_key,
+    bucket_marker_key,
     change_key,
     change_row,
     head_from_change,
@@ -34,13 +34,13 @@
 
 
 class ChangeRequest(Struct, frozen=True):
-    """An operator's change: the whole new document of one customer.
+    """Represents an operator's change: the complete new document of one customer.
 
-    `from_version` is the version that the operator started from, None for
-    whatever is the newest. `change_id` names the change, so that asking again
-    after a lost answer commits nothing twice. `is_asked_again` says that an
-    earlier attempt's outcome is unknown: then a failure of this attempt alone
-    does not prove that nothing was accepted.
+    `from_version` is the version on which the change is based, or None for the
+    newest one. `change_id` makes the change idempotent: repeating it after a lost
+    answer commits nothing twice. `is_asked_again` is True if the outcome of an
+    earlier attempt is unknown; a failure of this attempt then does not prove that
+    nothing was accepted.
     """
 
     intent: Intent
@@ -52,14 +52,14 @@
 
 
 class Accepted(Struct, frozen=True):
-    """A change that took effect; `is_repeat` where it had done so before."""
+    """Represents an accepted change; `is_repeat` if an earlier request committed it."""
 
     snapshot: Snapshot
     is_repeat: bool
 
 
 class _Attempt(Struct, frozen=True):
-    """One try to commit: the rows it starts from and the snapshot it makes."""
+    """Represents an attempt to commit: the rows read before it and the new snapshot."""
 
     platform: Platform
     request: ChangeRequest
@@ -75,29 +75,29 @@
 async def accept_change(
     platform: Platform, request: ChangeRequest
 ) -> Result[Accepted, Failure]:
-    """Commit a change, or say why nothing was accepted.
+    """Commit a change and return it, or return the failure.
 
-    Whoever races for the same version loses with `conflict`: the transaction
-    compares the head with the one that was read. `change_outcome_unknown` is
-    answered only where nobody can tell yet; asking again with the same change
-    id, at any daemon, gives the outcome.
+    Of several concurrent changes to the same version, all but one fail with
+    `conflict`, as the transaction compares the head with the one that was read.
+    `change_outcome_unknown` is returned only if the outcome cannot be determined
+    yet; repeating the request with the same change id, at any daemon, returns it.
     """
     body = encode_intent(request.intent)
     customer = request.intent.customer
     found = await _read_row(platform, change_key(request.change_id), customer)
     if found.is_err():
-        return Err(_before_commit(request, found.unwrap_err()))
+        return Err(_failure_before_commit(request, found.unwrap_err()))
     change = found.unwrap()
     committed = head_from_change(change)
     if committed is not None:
         return repeat_change(committed, request)
     read = await _read_row(platform, head_key(customer), customer)
     if read.is_err():
-        return Err(_before_commit(request, read.unwrap_err()))
-    head_of_row = read.unwrap()
-    held_version = head_from_row(head_of_row).version if head_of_row else 0
+        return Err(_failure_before_commit(request, read.unwrap_err()))
+    current_head_row = read.unwrap()
+    held_version = head_from_row(current_head_row).version if current_head_row else 0
     if request.from_version not in (None, held_version):
-        return Err(_conflict(held_version))
+        return Err(_conflict_failure(held_version))
     head = Head(
         customer,
         held_version + 1,
@@ -107,7 +107,9 @@
         request.change_id,
     )
     snapshot = Snapshot(head, body, request.intent)
-    return await _commit(_Attempt(platform, request, snapshot, change, head_of_row))
+    return await _commit(
+        _Attempt(platform, request, snapshot, change, current_head_row)
+    )
 
 
 async def _commit(attempt: _Attempt) -> Result[Accepted, Failure]:
@@ -116,35 +118,37 @@
         head.digest, attempt.snapshot.body, head.customer
     )
     if stored.is_err():
-        # The object alone has no effect, so this attempt certainly has none.
-        return Err(_before_commit(attempt.request, stored.unwrap_err()))
+        # An object without a head has no effect, so this attempt accepted nothing.
+        return Err(_failure_before_commit(attempt.request, stored.unwrap_err()))
     compare = (
-        Compare(head_key(head.customer), _value(attempt.head)),
-        Compare(change_key(head.change_id), _value(attempt.change)),
+        Compare(head_key(head.customer), _value_of(attempt.head)),
+        Compare(change_key(head.change_id), _value_of(attempt.change)),
     )
-    bell = Row(bell_key(head.customer), head.change_id)
-    rows = (head_row(head), change_row(head), bell)
+    marker_row = Row(bucket_marker_key(head.customer), head.change_id)
+    rows = (head_row(head), change_row(head), marker_row)
     committed = await attempt.platform.commit(compare, rows, head.customer)
     if committed.is_err():
-        return await _settle(attempt, committed.unwrap_err())
+        return await _resolve_unknown_outcome(attempt, committed.unwrap_err())
     if not committed.unwrap():
-        return await _lost_race(attempt)
+        return await _resolve_lost_race(attempt)
     return Ok(Accepted(attempt.snapshot, is_repeat=False))
 
 
-async def _settle(attempt: _Attempt, failure: Failure) -> Result[Accepted, Failure]:
-    """Find out what became of a commit whose answer was lost.
+async def _resolve_unknown_outcome(
+    attempt: _Attempt, failure: Failure
+) -> Result[Accepted, Failure]:
+    """Determine the outcome of a commit whose answer was lost.
 
-    The commit may have taken effect, or be on its way, or be lost. Writing the
-    change's row where it still is as it was settles it: either the commit was
-    there first, and the row tells, or it can't take effect any more, and
-    `nothing was accepted` is certain.
+    The commit may have taken effect, be in transit or be lost. An `abandoned` row is
+    written on condition that the change's row is unchanged. If that fails, the commit
+    was first, and the row shows the outcome. If it succeeds, the commit can no longer
+    take effect, and it is certain that nothing was accepted.
     """
     if failure.kind is not ErrorKind.CHANGE_OUTCOME_UNKNOWN:
-        return Err(_before_commit(attempt.request, failure))
+        return Err(_failure_before_commit(attempt.request, failure))
     change_id = attempt.request.change_id
     fence = abandoned_row(change_id, uuid.uuid4().hex)
-    compare = (Compare(change_key(change_id), _value(attempt.change)),)
+    compare = (Compare(change_key(change_id), _value_of(attempt.change)),)
     fenced = await attempt.platform.commit(compare, (fence,), attempt.customer)
     if fenced.is_ok() and fenced.unwrap():
         return Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE, failure.detail))
@@ -154,17 +158,17 @@
     committed = head_from_change(found.unwrap())
     if committed is not None:
         return repeat_change(committed, attempt.request, is_repeat=False)
-    if _value(found.unwrap()) == fence.value:
+    if _value_of(found.unwrap()) == fence.value:
         return Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE, failure.detail))
     return Err(failure)
 
 
-async def _lost_race(attempt: _Attempt) -> Result[Accepted, Failure]:
-    """Say who won: another change, or an earlier attempt of the same one."""
+async def _resolve_lost_race(attempt: _Attempt) -> Result[Accepted, Failure]:
+    """Determine whether another change or an earlier attempt was committed first."""
     key = change_key(attempt.request.change_id)
     found = await _read_row(attempt.platform, key, attempt.customer)
     if found.is_err():
-        # An earlier attempt with this change id may be what moved the head.
+        # An earlier attempt with this change id may have changed the head.
         detail = found.unwrap_err().detail
         return Err(Failure(ErrorKind.CHANGE_OUTCOME_UNKNOWN, detail))
     committed = head_from_change(found.unwrap())
@@ -174,20 +178,22 @@
         attempt.platform, head_key(attempt.customer), attempt.customer
     )
     row = read.unwrap() if read.is_ok() else None
-    return Err(_conflict(head_from_row(row).version if row else None))
+    return Err(_conflict_failure(head_from_row(row).version if row else None))
 
 
 def repeat_change(
     head: Head, request: ChangeRequest, *, is_repeat: bool = True
 ) -> Result[Accepted, Failure]:
-    """Answer a change that took effect as `head` before.
+    """Return the result of a change that was committed earlier as `head`.
 
-    A change id that was used for another document is a conflict: answering
-    `accepted` would make an operator believe in a change that never was.
+    A change id that was used for another document is a conflict: `accepted` would
+    report a change to the operator that was never committed.
     """
     body = encode_intent(request.intent)
     if head.digest != digest_of(body) or head.customer != request.intent.customer:
-        return Err(Failure(ErrorKind.CONFLICT, "the change id belongs to another"))
+        return Err(
+            Failure(ErrorKind.CONFLICT, "the change id was used for another document")
+        )
     return Ok(Accepted(Snapshot(head, body, request.intent), is_repeat))
 
 
@@ -198,10 +204,10 @@
     return rows.map(lambda found: next((row for row in found if row.key == key), None))
 
 
-def _before_commit(request: ChangeRequest, failure: Failure) -> Failure:
-    """Return the answer to a failure before anything could be committed.
+def _failure_before_commit(request: ChangeRequest, failure: Failure) -> Failure:
+    """Return the failure of an attempt that did not reach its commit.
 
-    It proves that this attempt accepted nothing, but an earlier one may have.
+    This attempt accepted nothing, but an earlier one may have been accepted.
     """
     if request.is_asked_again:
         return Failure(ErrorKind.CHANGE_OUTCOME_UNKNOWN, failure.detail)
@@ -210,11 +216,11 @@
     return Failure(ErrorKind.PLATFORM_UNAVAILABLE, failure.detail)
 
 
-def _value(row: Row | None) -> str | None:
+def _value_of(row: Row | None) -> str | None:
     return None if row is None else row.value
 
 
-def _conflict(version: int | None) -> Failure:
+def _conflict_failure(version: int | None) -> Failure:
     newest = "the newest version" if version is None else f"version {version}"
     return Failure(ErrorKind.CONFLICT, f"start from {newest}")
 
--- a/packages/pepperstair-platform/pepperstair_platform/coalescing.py
+++ b/packages/pepperstair-platform/pepperstair_platform/coalescing.py
@@ -1,4 +1,4 @@
-"""Reads of one table that are asked for together and made once."""
+"""Coalesces concurrent reads of one table into a single read."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class CoalescedRows:
-    """A table whose rows of all prefixes are read at once.
+    """A table that is always read whole, with concurrent reads sharing one request.
 
-    A read that is asked for while another one is under way shares its answer: several
-    parts of a daemon that starts need rows of the same small table.
+    A read that starts while another one is in progress shares its result, as several
+    parts of a starting daemon need rows of the same small table.
     """
 
     def __init__(self, table: RowTable) -> None:
@@ -24,11 +24,11 @@
         self._reading: asyncio.Task[Result[tuple[Row, ...], Failure]] | None = None
 
     async def read_rows(self, prefix: str) -> Result[tuple[Row, ...], Failure]:
-        """Return all rows whose key starts with a prefix, by key."""
+        """Return all rows whose key starts with a prefix, ordered by key."""
         if self._reading is None or self._reading.done():
             reading = self._table.read_rows("")
             self._reading = asyncio.get_running_loop().create_task(reading)
-        # One caller that leaves must not cancel the read of the others.
+        # Cancelling one caller must not cancel the shared read of the others.
         read = await asyncio.shield(self._reading)
         return read.map(
             lambda rows: tuple(row for row in rows if row.key.startswith(prefix))
@@ -37,11 +37,11 @@
     async def commit(
         self, compare: tuple[Compare, ...], put: tuple[Row, ...]
     ) -> Result[bool, Failure]:
-        """Write rows if every comparison holds; False where one does not."""
+        """Write rows if every comparison holds; return False if one does not."""
         return await self._table.commit(compare, put)
 
     async def delete_row(self, key: str) -> Result[bool, Failure]:
-        """Delete one row, whether or not it is there."""
+        """Delete one row, whether or not it exists."""
         return await self._table.delete_row(key)
 
 
--- a/packages/pepperstair-platform/pepperstair_platform/rows.py
+++ b/packages/pepperstair-platform/pepperstair_platform/rows.py
@@ -1,8 +1,8 @@
-"""The rows of the table service that pepperstair keeps.
+"""Keys and values of pepperstair's rows in the table service.
 
 `head/<bucket>/<customer>` holds the newest version of a customer,
-`change/<change id>` what a change became, `bell/<bucket>` a token that changes
-with any head of the bucket, and `member/<vm>` how to reach a daemon.
+`change/<change id>` the outcome of a change, `bell/<bucket>` a marker that changes
+with any head of the bucket, and `member/<vm>` the address of a daemon.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 
 def bucket_of(customer: str) -> int:
-    """Return the bucket that a customer's head is kept in."""
+    """Return the bucket in which a customer's head is stored."""
     return weight("bucket", customer) % N_BUCKETS
 
 
 def head_prefix(bucket: int) -> str:
-    """Return the prefix of all heads of a bucket."""
+    """Return the key prefix of all heads of a bucket."""
     return f"head/{bucket:02d}/"
 
 
@@ -36,65 +36,65 @@
     return f"{head_prefix(bucket_of(customer))}{customer}"
 
 
-def bell_key(customer: str) -> str:
-    """Return the key of the bell that a customer's changes touch."""
+def bucket_marker_key(customer: str) -> str:
+    """Return the key of the bucket marker that a customer's changes update."""
     return f"bell/{bucket_of(customer):02d}"
 
 
 def bells_prefix() -> str:
-    """Return the prefix of all bells."""
+    """Return the key prefix of all bucket markers."""
     return "bell/"
 
 
 def bucket_of_bell(row: Row) -> int:
-    """Return the bucket that a bell's row stands for."""
+    """Return the bucket of a bucket marker's row."""
     return int(row.key.removeprefix(bells_prefix()))
 
 
 def change_key(change_id: str) -> str:
-    """Return the key of the row that says what a change became."""
+    """Return the key of the row that records the outcome of a change."""
     return f"change/{change_id}"
 
 
 def head_row(head: Head) -> Row:
-    """Return the row that makes a head the newest one."""
-    return Row(head_key(head.customer), _head_text(head))
+    """Return the row that stores a head as the newest one of its customer."""
+    return Row(head_key(head.customer), _head_json(head))
 
 
 def change_row(head: Head) -> Row:
-    """Return the row that remembers what a change became."""
-    return Row(change_key(head.change_id), _head_text(head))
+    """Return the row that records a change as committed with a head."""
+    return Row(change_key(head.change_id), _head_json(head))
 
 
 def abandoned_row(change_id: str, token: str) -> Row:
-    """Return the row of a change that must not take effect any more.
+    """Return the row of an abandoned change, which can no longer take effect.
 
     The token makes the row differ from that of every other attempt, so that no
-    commit that started from an earlier row can still succeed.
+    commit based on an earlier row can still succeed.
     """
     return Row(change_key(change_id), json.dumps({_ABANDONED: token}))
 
 
 def head_from_change(row: Row | None) -> Head | None:
-    """Return the head that a change became, None where it became nothing yet."""
+    """Return the head committed by a change, or None if it is not committed."""
     if row is None or _ABANDONED in json.loads(row.value):
         return None
     return head_from_row(row)
 
 
 def head_from_row(row: Row) -> Head:
-    """Read a head from its row or from a change's row."""
+    """Return the head stored in a head row or a change row."""
     return Head(**json.loads(row.value))
 
 
-def _head_text(head: Head) -> str:
+def _head_json(head: Head) -> str:
     return json.dumps(asdict(head), sort_keys=True)
 
 
 __all__ = [
     "N_BUCKETS",
     "abandoned_row",
-    "bell_key",
+    "bucket_marker_key",
     "bells_prefix",
     "bucket_of",
     "bucket_of_bell",
--- a/packages/pepperstair-platform/pepperstair_platform/watching.py
+++ b/packages/pepperstair-platform/pepperstair_platform/watching.py
@@ -1,8 +1,8 @@
-"""A table that tells of its changes, as every platform with a watch offers one.
+"""Interfaces of tables, including tables that can be watched for changes.
 
-A watch is a hint: it may hang, lose changes or reach further back than the
-platform remembers. Whoever follows a table reads it whole again whenever the
-watch ends in any other way than with its changes.
+A watch is only a hint: it may hang, lose changes or start at a position older than
+the history that the platform retains. A follower therefore reads the whole table
+again whenever a watch ends other than by returning changes.
 """
 
 from __future__ import annotations
@@ -18,45 +18,44 @@
 
 
 class WatchedRow(Struct, frozen=True):
-    """One row of a watched table; `value` is None where the row was removed."""
+    """A row of a watched table; `value` is None if the row was deleted."""
 
     key: str
     value: bytes | None
 
 
 class WatchedRows(Struct, frozen=True):
-    """Rows, and the position in the table's history that they reach up to."""
+    """Rows, with the position in the table's history at which they were read."""
 
     rows: tuple[WatchedRow, ...]
     position: int
 
 
 class RowTable(Protocol):
-    """Rows by key, of which any daemon may write and delete its own."""
+    """A table of rows by key, in which each daemon writes and deletes its own rows."""
 
     async def read_rows(self, prefix: str) -> Result[tuple[Row, ...], Failure]:
-        """Return all rows whose key starts with a prefix, by key."""
+        """Return all rows whose key starts with a prefix, ordered by key."""
 
     async def commit(
         self, compare: tuple[Compare, ...], put: tuple[Row, ...]
     ) -> Result[bool, Failure]:
-        """Write rows if every comparison holds; False where one does not."""
+        """Write rows if every comparison holds; return False if one does not."""
 
     async def delete_row(self, key: str) -> Result[bool, Failure]:
-        """Delete one row, whether or not it is there."""
+        """Delete one row, whether or not it exists."""
 
 
 class WatchedTable(Protocol):
-    """A table that can be read whole and watched from a position on."""
+    """A table that can be read completely and watched from a position."""
 
     async def read(self) -> Result[WatchedRows, Failure]:
         """Return all rows."""
 
     async def wait(self, position: int, wait_ms: int) -> Result[WatchedRows, Failure]:
-        """Return the rows that changed after a position, none after `wait_ms`.
+        """Return the rows changed after a position, or no rows after `wait_ms`.
 
-        The failure is `watch_expired` where the history no longer reaches back
-        to the position.
+        Fails with `watch_expired` if the history no longer includes the position.
         """
 
 
--- a/tests/test_coalescing.py
+++ b/tests/test_coalescing.py
@@ -1,4 +1,4 @@
-"""Reads of one table that several parts of a daemon ask for."""
+"""Concurrent reads of one table by several parts of a daemon."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SlowTable:
-    """Answers each read after a moment."""
+    """Returns one of the given answers to each read after 10 ms."""
 
     def __init__(self, *answers) -> None:
         self.answers = list(answers)
@@ -26,7 +26,7 @@
         return self.answers.pop(0)
 
 
-def test_reads_asked_for_together_are_one_read():
+def test_concurrent_reads_share_one_read():
     async def scenario() -> None:
         table = SlowTable(Ok(ROWS), Ok(ROWS))
         rows = CoalescedRows(table)
@@ -34,15 +34,15 @@
         members, departures = await asyncio.gather(*reads)
         assert members == Ok(ROWS[1:]) and departures == Ok(ROWS[:1])
         assert table.prefixes == [""]
-        # A later read must not answer with what was true before it.
+        # A later read must not return an earlier result.
         assert await rows.read_rows("member/") == Ok(ROWS[1:])
         assert len(table.prefixes) == 2
 
     asyncio.run(scenario())
 
 
-def test_reader_that_leaves_does_not_cancel_the_read_of_another():
-    """Guards against a daemon that starts without its own departures."""
+def test_cancelled_reader_does_not_cancel_the_read_of_another():
+    """A daemon would otherwise start without its own departure rows."""
 
     async def scenario() -> None:
         rows = CoalescedRows(SlowTable(Ok(ROWS)))
@@ -55,7 +55,7 @@
     asyncio.run(scenario())
 
 
-def test_failed_read_fails_for_all_and_is_not_kept():
+def test_failed_read_is_not_cached():
     async def scenario() -> None:
         failed = Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
         rows = CoalescedRows(SlowTable(failed, Ok(ROWS)))
