--- a/packages/pepperstair-peers/pepperstair_peers/control/changes.py
+++ b/packages/pepperstair-peers/pepperstair_peers/control/changes.py
@@ -26,9 +26,7 @@
     refutes either of these states.
     """
     before, member = change.before, change.member
-    if before is not None and _incarnation_and_state(before) == _incarnation_and_state(
-        member
-    ):
+    if before is not None and _status_of(before) == _status_of(member):
         return
     log.info(
         Event.MEMBER_CHANGED,
@@ -44,7 +42,7 @@
         decisions.add(Decision(now_ms, kind, member.vm, cause))
 
 
-def _incarnation_and_state(member: Member) -> tuple[int, MemberState]:
+def _status_of(member: Member) -> tuple[int, MemberState]:
     return member.incarnation, member.state
 
 
--- a/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
@@ -80,7 +80,7 @@
             self.body.finish()
 
     @property
-    def is_remembered(self) -> bool:
+    def is_recorded(self) -> bool:
         """Return whether the outcome is recorded so that the caller can query it."""
         return not self.head.is_idempotent
 
@@ -105,7 +105,7 @@
         """
         self.stream = None
         self.credit.on_stream_lost()
-        if not self.is_remembered:
+        if not self.is_recorded:
             self.task.cancel()
             return
         self.body.fail(ConnectionLostError("stream lost during the request"))
@@ -119,7 +119,7 @@
         if is_whole and self.credit.try_acquire(len(part)):
             parts = [BodyPart(self.head.call_id, data) for data in iter_parts(part)]
             self.send(head, *parts, BodyEnd(self.head.call_id))
-            return self._keep(response, [part]) if self.is_remembered else None
+            return self._keep(response, [part]) if self.is_recorded else None
         self.send(head)
         kept = await self._relay_body(response, part)
         self.send(BodyEnd(self.head.call_id))
@@ -138,8 +138,11 @@
     async def _relay_body(
         self, response: StreamedResponse, part: bytes
     ) -> list[bytes] | None:
-        """Send a body and return its parts, or None if they are not to be kept."""
-        kept: list[bytes] | None = [] if self.is_remembered else None
+        """Send a body and return its parts for the record of the call.
+
+        Return None if the call is not recorded or the body is too large to be kept.
+        """
+        kept: list[bytes] | None = [] if self.is_recorded else None
         n_kept_bytes = 0
         data = part or await response.body.read()
         while data:
--- a/packages/pepperstair-peers/pepperstair_peers/data/link.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/link.py
@@ -34,7 +34,7 @@
 _N_IDLE_HEARTBEATS: Final = 60
 _N_COMPLETED_IDS_MAX: Final = 4096
 # Three dials with their pauses take four to five heartbeats. An idempotent call is
-# recovered only if that is less than a quarter of its timeout.
+# recovered only if that is less than a quarter of its initial `time_left_ms`.
 _N_URGENT_HEARTBEATS: Final = 20
 
 
@@ -63,8 +63,8 @@
         self._start_id = 0
         self._calls: dict[int, OutgoingCall] = {}
         self._completed_call_ids: list[int] = []
-        self._opening: asyncio.Task[None] | None = None
-        self._recovering: asyncio.Task[None] | None = None
+        self._open_task: asyncio.Task[None] | None = None
+        self._recovery_task: asyncio.Task[None] | None = None
         self._n_last_received_bytes = 0
         self._last_received_ms = 0
         self._last_used_ms = clock_ms()
@@ -101,8 +101,8 @@
 
     @property
     def is_unused(self) -> bool:
-        """Return whether the link has neither a stream nor calls."""
-        return not (self._is_open or self._calls or self._opening)
+        """Return whether the link has no calls and no open or opening stream."""
+        return not (self._is_open or self._calls or self._open_task)
 
     def tick(self, now_ms: int) -> None:
         """Report completed calls, and close a silent or idle stream."""
@@ -126,7 +126,7 @@
 
     def close(self) -> None:
         """Close the stream, and fail unfinished calls with `outcome_unknown`."""
-        for task in (self._opening, self._recovering):
+        for task in (self._open_task, self._recovery_task):
             if task is not None:
                 task.cancel()
         calls = list(self._calls.values())
@@ -173,17 +173,17 @@
 
     async def _ensure_open(self) -> None:
         """Open a stream; concurrent calls share one attempt."""
-        if self._opening is None:
-            self._opening = asyncio.get_running_loop().create_task(self._open())
-            self._opening.add_done_callback(self._on_opened)
-        await asyncio.shield(self._opening)
+        if self._open_task is None:
+            self._open_task = asyncio.get_running_loop().create_task(self._open())
+            self._open_task.add_done_callback(self._on_opened)
+        await asyncio.shield(self._open_task)
         if not self._is_open:
             raise _unreachable_error("the stream was closed immediately")
 
-    def _on_opened(self, opening: asyncio.Task[None]) -> None:
-        self._opening = None
-        if not opening.cancelled():
-            opening.exception()
+    def _on_opened(self, open_task: asyncio.Task[None]) -> None:
+        self._open_task = None
+        if not open_task.cancelled():
+            open_task.exception()
 
     async def _open(self) -> None:
         try:
@@ -244,10 +244,10 @@
                 self._completed_call_ids.append(call_id)
 
     def _resend_undelivered(self, call: OutgoingCall, frame: Any) -> bool:
-        """Resend a call that a lost stream did not deliver; return whether it was.
+        """Resend a call that did not reach the peer, and return whether it was resent.
 
-        The peer answered the query that it never received the call, and from then
-        on it refuses the call on any earlier stream.
+        The peer has answered a query that it never received the call. From then on it
+        refuses the call on any earlier stream, so the call cannot run twice.
         """
         if not isinstance(frame, CallFailed) or frame.run is not Run.NO:
             return False
@@ -279,18 +279,18 @@
                         ErrorKind.OUTCOME_UNKNOWN, "the stream was lost during the call"
                     )
                 )
-        if self._calls and self._recovering is None:
+        if self._calls and self._recovery_task is None:
             self.n_replaced_streams += 1
             self._start_recovery(0)
 
     def _start_recovery(self, delay_ms: float) -> None:
         loop = asyncio.get_running_loop()
-        self._recovering = loop.create_task(self._recover(delay_ms))
-        self._recovering.add_done_callback(self._on_recovered)
+        self._recovery_task = loop.create_task(self._recover(delay_ms))
+        self._recovery_task.add_done_callback(self._on_recovered)
 
-    def _on_recovered(self, recovering: asyncio.Task[None]) -> None:
-        self._recovering = None
-        if self._calls and not self._is_open and not recovering.cancelled():
+    def _on_recovered(self, recovery_task: asyncio.Task[None]) -> None:
+        self._recovery_task = None
+        if self._calls and not self._is_open and not recovery_task.cancelled():
             self._start_recovery(self._heartbeat_ms / 4)
 
     async def _recover(self, delay_ms: float) -> None:
--- a/packages/pepperstair-peers/pepperstair_peers/data/server.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/server.py
@@ -202,7 +202,7 @@
         # A resent idempotent call may already have replaced this entry.
         if self._running.get(call.key) is call:
             del self._running[call.key]
-        if not call.is_remembered:
+        if not call.is_recorded:
             return
         kept = call.kept
         if call.task.cancelled():
--- a/packages/pepperstair-peers/pepperstair_peers/dialling.py
+++ b/packages/pepperstair-peers/pepperstair_peers/dialling.py
@@ -69,7 +69,9 @@
                 self.counters.n_rejected += 1
                 log.warning(Event.FRAME_REJECTED, reason=reason)
             if not welcomed.done():
-                welcomed.set_exception(ConnectionResetError("closed before Welcome"))
+                welcomed.set_exception(
+                    ConnectionResetError("the stream was closed before a Welcome frame")
+                )
 
         stream.on_frame = on_first_frame
         stream.closed_callbacks.append(on_closed)
--- a/packages/pepperstair-peers/pepperstair_peers/listener.py
+++ b/packages/pepperstair-peers/pepperstair_peers/listener.py
@@ -69,8 +69,10 @@
         def on_first_frame(frame: Any) -> None:
             timer.cancel()
             if not self._is_valid_hello(frame):
-                reason = f"expected Hello v{PROTOCOL_VERSION}: {type(frame).__name__}"
-                self._reject(stream, reason)
+                self._reject(
+                    stream,
+                    f"expected Hello v{PROTOCOL_VERSION}, got {type(frame).__name__}",
+                )
                 return
             stream.counters = self._counters[frame.stream_kind]
             stream.send(self._identity.welcome())
--- a/packages/pepperstair-platform/pepperstair_platform/coalescing.py
+++ b/packages/pepperstair-platform/pepperstair_platform/coalescing.py
@@ -21,15 +21,15 @@
 
     def __init__(self, table: RowTable) -> None:
         self._table = table
-        self._reading: asyncio.Task[Result[tuple[Row, ...], Failure]] | None = None
+        self._read_task: asyncio.Task[Result[tuple[Row, ...], Failure]] | None = None
 
     async def read_rows(self, prefix: str) -> Result[tuple[Row, ...], Failure]:
         """Return all rows whose key starts with a prefix, ordered by key."""
-        if self._reading is None or self._reading.done():
+        if self._read_task is None or self._read_task.done():
             reading = self._table.read_rows("")
-            self._reading = asyncio.get_running_loop().create_task(reading)
+            self._read_task = asyncio.get_running_loop().create_task(reading)
         # Cancelling one caller must not cancel the shared read of the others.
-        read = await asyncio.shield(self._reading)
+        read = await asyncio.shield(self._read_task)
         return read.map(
             lambda rows: tuple(row for row in rows if row.key.startswith(prefix))
         )
--- a/tests/link.py
+++ b/tests/link.py
@@ -99,7 +99,7 @@
                 self._copy(number, far_reader, writer, is_inward=False),
             )
         except asyncio.CancelledError:
-            # The test has ended. If re-raised, this would be logged per connection.
+            # The run has ended. If re-raised, this would be logged per connection.
             return
         except OSError:
             # One end is closed; the other must see an aborted connection.
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -186,7 +186,7 @@
                 for daemon, other in ((first, second), (second, first))
             ]
             # Streams are replaced as long as dials are in progress, which on a loaded
-            # machine takes longer than the sleep below.
+            # machine can take longer than the sleep below.
             async with asyncio.timeout(10):
                 await asyncio.gather(*dials)
             await asyncio.sleep(0.05)
