--- a/packages/pepperstair-core/pepperstair_core/__init__.py
+++ b/packages/pepperstair-core/pepperstair_core/__init__.py
@@ -1,8 +1,8 @@
-"""Data, settings and decisions of pepperstair, without I/O.
+"""Data types, settings and decision logic of pepperstair, without I/O.
 
-Nothing below this package opens a socket, reads a clock or draws from the
-global random generator: the current time comes in as `now_ms`, and randomness
-as a seeded `random.Random`. That keeps every decision repeatable in tests.
+No module of this package opens a socket, reads a clock or uses the global random
+generator: the current time is passed in as `now_ms`, and randomness as a seeded
+`random.Random`. This keeps every decision reproducible in tests.
 """
 
 from __future__ import annotations
--- a/packages/pepperstair-core/pepperstair_core/config/__init__.py
+++ b/packages/pepperstair-core/pepperstair_core/config/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of a daemon: one schema, read from TOML."""
+"""The settings of a daemon: their schema, and reading them from TOML."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-core/pepperstair_core/config/reference.py
+++ b/packages/pepperstair-core/pepperstair_core/config/reference.py
@@ -1,4 +1,4 @@
-"""Writes the page of settings from the schema: `make docs` calls it."""
+"""Generates the settings page from the schema; `make docs` runs this module."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 _OPENING: Final = """\
 # Settings
 
-This page lists every key of a daemon's settings. It is written from the schema by
-`make docs`; a test holds the two together.
+This page lists every key of a daemon's settings. It is generated from the schema by
+`make docs`, and a test checks that it is up to date.
 
 A daemon reads one TOML file: `pepperstaird --settings FILE`. With `--check` it only
-checks the file, prints one line for each fault and exits 2 where there is any;
-`pepperstair check FILE` does the same. `examples/vm-1.toml` has what a VM needs.
-
-A key's name says its unit (`_ms`, `_bytes`, `_percent`, `_per_s`) or that it is a
-count (`n_`). Addresses are an IP number and a port, such as `127.0.0.1:8000` or
-`[::1]:8000`. Settings are read at the start only. An operators' interface that is
-not on loopback needs a token; the command line takes it from `--token` or from the
-environment variable `PEPPERSTAIR_TOKEN`.
+checks the file, prints one line per fault and exits with status 2 if there are any;
+`pepperstair check FILE` does the same. `examples/vm-1.toml` contains what a VM needs.
+
+The name of a key contains its unit (`_ms`, `_bytes`, `_percent`, `_per_s`) or shows
+that it is a count (`n_`). Addresses consist of an IP address and a port, such as
+`127.0.0.1:8000` or `[::1]:8000`. Settings are read at start-up only. An operators'
+interface that does not listen on loopback requires a token; the command line takes
+it from `--token` or from the environment variable `PEPPERSTAIR_TOKEN`.
 """
 
 _HEADING: Final = """\
@@ -33,7 +33,7 @@
 
 
 def render_reference() -> str:
-    """Return the whole page."""
+    """Return the Markdown text of the settings page."""
     return "".join(_iter_parts())
 
 
@@ -54,8 +54,8 @@
         f"`{entry.name}`",
         entry.type_name,
         default,
-        _range(entry.declared),
-        entry.declared.doc,
+        _range(entry.option),
+        entry.option.doc,
     )
     return f"| {' | '.join(cells)} |\n"
 
@@ -64,14 +64,14 @@
     return json.dumps(default)
 
 
-def _range(declared: Option) -> str:
-    if declared.form is not None:
-        return declared.form.expected
+def _range(option: Option) -> str:
+    if option.text_format is not None:
+        return option.text_format.expected
     limits = []
-    if declared.minimum is not None:
-        limits.append(f"at least {declared.minimum}")
-    if declared.maximum is not None:
-        limits.append(f"at most {declared.maximum}")
+    if option.minimum is not None:
+        limits.append(f"at least {option.minimum}")
+    if option.maximum is not None:
+        limits.append(f"at most {option.maximum}")
     return ", ".join(limits) or "any"
 
 
--- a/packages/pepperstair-core/pepperstair_core/config/settings.py
+++ b/packages/pepperstair-core/pepperstair_core/config/settings.py
@@ -1,4 +1,4 @@
-"""The schema of a daemon's settings and the checks across its keys."""
+"""The schema of a daemon's settings and the validation across keys."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from result import Err, Result
 
 from ..labels import is_label_name, iter_label_faults
-from ..schema import Fault, Form, Option, read_document
+from ..schema import Fault, Option, TextFormat, read_document
 
 
 def parse_address(text: str) -> tuple[str, int] | None:
-    """Split `127.0.0.1:8000` into IP number and port, or return None."""
+    """Split `127.0.0.1:8000` into IP address and port, or return None."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -26,20 +26,22 @@
     return host.strip("[]"), int(port)
 
 
-_NAME: Final = Form("a name", is_label_name)
-_ADDRESS: Final = Form(
-    "an IP number and port", lambda text: parse_address(text) is not None
+_NAME: Final = TextFormat("a name", is_label_name)
+_ADDRESS: Final = TextFormat(
+    "an IP address and port", lambda text: parse_address(text) is not None
 )
-_OPTIONAL_ADDRESS: Final = Form(
-    "an IP number and port, or an empty string",
+_OPTIONAL_ADDRESS: Final = TextFormat(
+    "an IP address and port, or an empty string",
     lambda text: not text or parse_address(text) is not None,
 )
 
 
 class VmSettings(Struct, frozen=True):
-    """Where and what this VM is."""
+    """Identity and location of this VM."""
 
-    name: Annotated[str, Option("Name of the VM, unique in the fleet.", form=_NAME)]
+    name: Annotated[
+        str, Option("Name of the VM, unique in the fleet.", text_format=_NAME)
+    ]
     availability_zone: Annotated[str, Option("Availability zone of the VM.")]
     region: Annotated[str, Option("Region of the availability zone.")] = ""
     labels: Annotated[
@@ -49,41 +51,45 @@
         bool,
         Option(
             "Whether the whole fleet starts for the first time, so that no daemon has "
-            "kept anything on the platform yet."
+            "stored anything on the platform yet."
         ),
     ] = False
 
 
 class CallersSettings(Struct, frozen=True):
-    """The proxy that callers speak to."""
+    """The proxy that callers connect to."""
 
-    address: Annotated[str, Option("Address and port to listen on.", form=_ADDRESS)]
+    address: Annotated[
+        str, Option("Address and port to listen on.", text_format=_ADDRESS)
+    ]
     n_connections_max: Annotated[
-        int, Option("Connections served at once; more are refused.", minimum=1)
+        int, Option("Simultaneous connections; further ones are refused.", minimum=1)
     ] = 1000
-    body_max_bytes: Annotated[int, Option("Largest request body.", minimum=0)] = (
-        256 * 1024 * 1024
-    )
+    body_max_bytes: Annotated[
+        int, Option("Maximum size of a request body.", minimum=0)
+    ] = 256 * 1024 * 1024
     header_max_bytes: Annotated[
-        int, Option("Largest request line and headers.", minimum=512)
+        int, Option("Maximum size of request line and headers.", minimum=512)
     ] = 16_384
     idle_timeout_ms: Annotated[
         int, Option("Time after which an idle connection is closed.", minimum=100)
     ] = 60_000
     n_requests_ahead_max: Annotated[
         int,
-        Option("Requests of one connection that are in progress at once.", minimum=1),
+        Option("Pipelined requests of one connection in progress at once.", minimum=1),
     ] = 16
     ahead_request_max_bytes: Annotated[
         int,
         Option(
-            "Bytes of further requests that are kept for one connection.", minimum=1024
+            "Size of further pipelined requests buffered for one connection.",
+            minimum=1024,
         ),
     ] = 65_536
     ahead_answer_max_bytes: Annotated[
         int,
         Option(
-            "Bytes of answers that wait for an earlier one before no request begins.",
+            "Size of answers waiting for an earlier one, above which no further "
+            "request of the connection is started.",
             minimum=0,
         ),
     ] = 1_048_576
@@ -92,117 +98,124 @@
 class OperatorsSettings(Struct, frozen=True):
     """The interface for operators and for the targets of this VM."""
 
-    address: Annotated[str, Option("Address and port to listen on.", form=_ADDRESS)]
+    address: Annotated[
+        str, Option("Address and port to listen on.", text_format=_ADDRESS)
+    ]
     advertised_address: Annotated[
         str,
         Option(
-            "Address told for reports over the fleet; empty for the listening one.",
-            form=_OPTIONAL_ADDRESS,
+            "Address advertised for fleet-wide reports; empty for `address`.",
+            text_format=_OPTIONAL_ADDRESS,
         ),
     ] = ""
     token: Annotated[
-        str, Option("Bearer token; required where the address is not loopback.")
+        str, Option("Bearer token; required if the address is not loopback.")
     ] = ""
-    body_max_bytes: Annotated[int, Option("Largest request body.", minimum=1024)] = (
-        2_000_000
-    )
+    body_max_bytes: Annotated[
+        int, Option("Maximum size of a request body.", minimum=1024)
+    ] = 2_000_000
 
 
 class PeersSettings(Struct, frozen=True):
-    """Streams to and from other daemons."""
+    """Connections to and from other daemons."""
 
-    address: Annotated[str, Option("Address and port to listen on.", form=_ADDRESS)]
+    address: Annotated[
+        str, Option("Address and port to listen on.", text_format=_ADDRESS)
+    ]
     advertised_address: Annotated[
         str,
         Option(
-            "Address told to other daemons; empty for the listening one.",
-            form=_OPTIONAL_ADDRESS,
+            "Address advertised to other daemons; empty for `address`.",
+            text_format=_OPTIONAL_ADDRESS,
         ),
     ] = ""
     seed_addresses: Annotated[
-        tuple[str, ...], Option("Daemons to join the fleet through.", form=_ADDRESS)
+        tuple[str, ...],
+        Option("Daemons through which to join the fleet.", text_format=_ADDRESS),
     ] = ()
     frame_max_bytes: Annotated[
-        int, Option("Largest frame on a stream.", minimum=4096)
+        int, Option("Maximum size of a frame on a stream.", minimum=4096)
     ] = 262_144
     link_mbps: Annotated[
         float,
         Option(
-            "Pace of this VM's link; large answers leave it room for others. "
-            "0 where it is not known.",
+            "Bandwidth of this VM's link, used to pace large answers so that they "
+            "leave room for others; 0 if unknown.",
             minimum=0,
         ),
     ] = 0.0
     n_zone_neighbours: Annotated[
         int,
         Option(
-            "Neighbours kept in the own availability zone; odd counts as the next "
-            "even.",
+            "Neighbours in the own availability zone; an odd number is rounded up to "
+            "the next even one.",
             minimum=1,
         ),
     ] = 2
     n_remote_neighbours: Annotated[
         int,
         Option(
-            "Neighbours kept in the whole fleet; odd counts as the next even.",
+            "Neighbours in the whole fleet; an odd number is rounded up to the next "
+            "even one.",
             minimum=1,
         ),
     ] = 2
 
 
 class MembersSettings(Struct, frozen=True):
-    """How fast other daemons are taken for gone, and targets' leases."""
+    """Failure detection of other daemons, and the lease of targets."""
 
     heartbeat_ms: Annotated[
         int, Option("Time between heartbeats to a neighbour.", minimum=20)
     ] = 1000
     n_heartbeats_missed: Annotated[
-        int, Option("Heartbeats missed until a neighbour is suspected.", minimum=1)
+        int, Option("Missed heartbeats before a neighbour is suspected.", minimum=1)
     ] = 3
     suspicion_ms: Annotated[
-        int, Option("Time a suspected member has to refute.", minimum=20)
+        int, Option("Time a suspected member has to refute the suspicion.", minimum=20)
     ] = 3000
     target_lease_ms: Annotated[
-        int, Option("Lease of a target's announcement.", minimum=100)
+        int, Option("Lease duration of a target's announcement.", minimum=100)
     ] = 6000
 
 
 class CallsSettings(Struct, frozen=True):
-    """How calls are carried and ended."""
+    """Forwarding, time limits and retries of calls."""
 
     default_timeout_ms: Annotated[
-        int, Option("Time for a call whose route and caller name none.", minimum=1)
+        int, Option("Timeout of a call if route and caller set none.", minimum=1)
     ] = 2000
     drain_timeout_ms: Annotated[
-        int, Option("Time that calls in flight have after SIGTERM.", minimum=0)
+        int, Option("Time for calls in flight to finish after SIGTERM.", minimum=0)
     ] = 30_000
     stream_heartbeat_ms: Annotated[
         int,
         Option(
-            "Time between heartbeats on streams that carry calls; 0 for that of "
-            "members.",
+            "Time between heartbeats on streams that carry calls; 0 for "
+            "`members.heartbeat_ms`.",
             minimum=0,
         ),
     ] = 0
     stream_silence_ms: Annotated[
         int,
         Option(
-            "Time for which a stream on this VM's link may be silent while calls wait; "
-            "at least two heartbeats.",
+            "Time without data after which a stream over this VM's link is considered "
+            "lost while calls are pending; at least two heartbeat intervals.",
             minimum=0,
         ),
     ] = 0
     stop_notice_ms: Annotated[
         int,
-        Option("Time after SIGTERM in which callers are served as before.", minimum=0),
+        Option("Time after SIGTERM in which calls are still accepted.", minimum=0),
     ] = 0
     retry_budget_percent: Annotated[
-        int, Option("Retries allowed for each hundred calls.", minimum=0, maximum=100)
+        int, Option("Retries allowed per hundred calls.", minimum=0, maximum=100)
     ] = 10
     n_remembered_runs_max: Annotated[
         int,
         Option(
-            "Non-idempotent calls whose answer is kept for asking again.", minimum=1
+            "Non-idempotent calls whose answer is kept for repeated requests.",
+            minimum=1,
         ),
     ] = 20_000
 
@@ -210,32 +223,34 @@
 class PlatformSettings(Struct, frozen=True):
     """The platform's table service and object store."""
 
-    address: Annotated[str, Option("Address and port of the platform.", form=_ADDRESS)]
+    address: Annotated[
+        str, Option("Address and port of the platform.", text_format=_ADDRESS)
+    ]
     timeout_ms: Annotated[
-        int, Option("Time after which a platform call is given up.", minimum=10)
+        int, Option("Timeout of a request to the platform.", minimum=10)
     ] = 1000
     poll_interval_ms: Annotated[
-        int, Option("Time between a poller's reads.", minimum=20)
+        int, Option("Time between two reads of a poller.", minimum=20)
     ] = 1000
     requests_per_s: Annotated[
-        int, Option("Platform requests this daemon makes at the most.", minimum=1)
+        int, Option("Maximum rate of this daemon's platform requests.", minimum=1)
     ] = 50
 
 
 class MetricsSettings(Struct, frozen=True):
-    """Where metrics go."""
+    """Export of metrics."""
 
     statsd_address: Annotated[
-        str, Option("statsd's address; empty for none.", form=_OPTIONAL_ADDRESS)
+        str, Option("Address of statsd; empty for none.", text_format=_OPTIONAL_ADDRESS)
     ] = ""
     interval_ms: Annotated[
-        int, Option("Time between two sendings of the counters.", minimum=50)
+        int, Option("Time between two transmissions of the counters.", minimum=50)
     ] = 1000
     prometheus_address: Annotated[
         str,
         Option(
             "Address and port to serve metrics on, for Prometheus; empty for none.",
-            form=_OPTIONAL_ADDRESS,
+            text_format=_OPTIONAL_ADDRESS,
         ),
     ] = ""
 
@@ -254,16 +269,16 @@
 
 
 def parse_settings_toml(text: str) -> Result[Settings, list[Fault]]:
-    """Parse and check settings, listing every fault."""
+    """Parse and validate settings, or return every fault."""
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        return Err([Fault("document", f"TOML ({error})")])
+        return Err([Fault("document", f"valid TOML ({error})")])
     return read_settings_table(table)
 
 
 def read_settings_table(table: object) -> Result[Settings, list[Fault]]:
-    """Read settings from a parsed table and check them as a whole."""
+    """Read and validate settings from a parsed table, or return every fault."""
     return read_document(Settings, table, _iter_settings_faults)
 
 
@@ -273,10 +288,10 @@
 
 
 def _iter_token_faults(operators: OperatorsSettings) -> Iterator[Fault]:
-    """Refuse an open operators' interface.
+    """Yield a fault if the operators' interface is open to other hosts.
 
-    Without a token anybody who reaches the port could change the routing of
-    every customer, and nobody would notice before it happened.
+    Without a token, anybody who reaches the port could change the routing of every
+    customer, and nobody would notice beforehand.
     """
     parsed = parse_address(operators.address)
     if parsed is None or operators.token:
--- a/packages/pepperstair-core/pepperstair_core/decisions.py
+++ b/packages/pepperstair-core/pepperstair_core/decisions.py
@@ -1,4 +1,4 @@
-"""The daemon's recent decisions, kept so that it can explain itself."""
+"""The log of the daemon's recent decisions, which explain its behaviour."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DecisionKind(StrEnum):
-    """What a daemon decided."""
+    """The kinds of decisions that a daemon records."""
 
     EJECTED = "ejected"
     REFUSED = "refused"
@@ -31,7 +31,7 @@
 
 
 class Decision(Struct, frozen=True):
-    """One decision: about what, why, and the figures it was made on."""
+    """One decision: its subject, its cause and the figures that it is based on."""
 
     at_ms: int
     kind: DecisionKind
@@ -41,7 +41,7 @@
 
 
 class DecisionLog:
-    """A bounded ring: the newest decisions push the oldest ones out.
+    """A ring buffer of decisions; a new one evicts the oldest when it is full.
 
     >>> decisions = DecisionLog()
     >>> decisions.add(Decision(0, DecisionKind.EJECTED, "ledger-1", "5 errors"))
@@ -53,11 +53,11 @@
         self._ring: deque[Decision] = deque(maxlen=n_max)
 
     def add(self, decision: Decision) -> None:
-        """Keep a decision."""
+        """Append a decision."""
         self._ring.append(decision)
 
     def find(self, subject: str = "") -> Iterator[Decision]:
-        """Yield the decisions about a subject, or all, oldest first."""
+        """Yield the decisions about a subject, or all of them, oldest first."""
         for decision in self._ring:
             if not subject or decision.subject == subject:
                 yield decision
--- a/packages/pepperstair-core/pepperstair_core/errors.py
+++ b/packages/pepperstair-core/pepperstair_core/errors.py
@@ -1,7 +1,7 @@
-"""The closed list of error kinds and the one table from kind to answer.
+"""The closed list of error kinds, and the table from kind to answer.
 
-Callers, operators and other daemons all learn of an error through these kinds,
-so that the same fault reads the same everywhere:
+Errors are reported to callers, operators and other daemons by these kinds, so that
+the same error looks the same everywhere:
 
 >>> ANSWERS[ErrorKind.NO_ROUTE].status
 404
@@ -57,10 +57,11 @@
 
 
 class Answer(Struct, frozen=True):
-    """What a caller or an operator is told of one error kind.
+    """The answer that a caller or an operator gets for one error kind.
 
-    `run` is the default that a failure may sharpen; `is_retryable` says that
-    the same request may be sent again without running twice.
+    `run` is a default, which a `Failure` may replace by a more precise value;
+    `is_retryable` states that the same request may be sent again without running
+    twice.
     """
 
     status: int
@@ -80,43 +81,60 @@
     ErrorKind.NOT_READY: Answer(503, _NO, True, "the daemon is not ready yet"),
     ErrorKind.NO_TARGET: Answer(503, _NO, True, "the service has no usable target"),
     ErrorKind.TARGET_UNREACHABLE: Answer(503, _NO, True, "the target is unreachable"),
-    ErrorKind.DRAINING: Answer(503, _NO, True, "the target or daemon is leaving"),
-    ErrorKind.OVERLOADED: Answer(503, _NO, True, "no slot in time for the request"),
+    ErrorKind.DRAINING: Answer(503, _NO, True, "the target or daemon is draining"),
+    ErrorKind.OVERLOADED: Answer(
+        503, _NO, True, "no slot is free in time for the request"
+    ),
     ErrorKind.TOO_MANY_CONNECTIONS: Answer(503, _NO, True, "too many connections"),
     ErrorKind.PEER_UNREACHABLE: Answer(503, _NO, True, "the daemon is unreachable"),
-    ErrorKind.DEADLINE_BEFORE_RUN: Answer(504, _NO, False, "too late to start it"),
+    ErrorKind.DEADLINE_BEFORE_RUN: Answer(
+        504, _NO, False, "the deadline passed before the request ran"
+    ),
     ErrorKind.TIMEOUT: Answer(504, _UNKNOWN, False, "no answer before the timeout"),
-    ErrorKind.TARGET_REFUSED: Answer(503, _NO, True, "the target refused it unrun"),
-    ErrorKind.TARGET_FAILED: Answer(502, _UNKNOWN, False, "the target cut its answer"),
-    ErrorKind.TARGET_CRASHED: Answer(502, _UNKNOWN, False, "the target ended under it"),
+    ErrorKind.TARGET_REFUSED: Answer(
+        503, _NO, True, "the target refused the request without running it"
+    ),
+    ErrorKind.TARGET_FAILED: Answer(
+        502, _UNKNOWN, False, "the target failed to answer the request"
+    ),
+    ErrorKind.TARGET_CRASHED: Answer(
+        502, _UNKNOWN, False, "the target process ended while running the request"
+    ),
     ErrorKind.QUARANTINED: Answer(
-        503, _NO, False, "requests like it have crashed their targets"
+        503, _NO, False, "similar requests have crashed their targets"
     ),
     ErrorKind.OUTCOME_UNKNOWN: Answer(502, _UNKNOWN, False, "the answer was lost"),
-    ErrorKind.CANCELLED: Answer(499, _UNKNOWN, False, "the caller left"),
+    ErrorKind.CANCELLED: Answer(
+        499, _UNKNOWN, False, "the caller cancelled the request"
+    ),
     ErrorKind.INVALID_INTENT: Answer(422, _NO, False, "the intent is not valid"),
-    ErrorKind.CONFLICT: Answer(409, _NO, False, "the configuration has moved on"),
+    ErrorKind.CONFLICT: Answer(
+        409, _NO, False, "the change conflicts with the configuration"
+    ),
     ErrorKind.UNAUTHORIZED: Answer(401, _NO, False, "a bearer token is required"),
-    ErrorKind.NOT_FOUND: Answer(404, _NO, False, "there is no such thing"),
+    ErrorKind.NOT_FOUND: Answer(404, _NO, False, "not found"),
     ErrorKind.PLATFORM_UNAVAILABLE: Answer(
         503, _NO, True, "the platform is unavailable, nothing was accepted"
     ),
     ErrorKind.CHANGE_OUTCOME_UNKNOWN: Answer(
-        504, _UNKNOWN, True, "outcome unknown, ask again with this change id"
+        504, _UNKNOWN, True, "outcome unknown, repeat the request with this change id"
     ),
     ErrorKind.WATCH_EXPIRED: Answer(
-        410, _NO, False, "the history that was asked for is gone, read anew"
+        410,
+        _NO,
+        False,
+        "the requested history is no longer kept, read the current state",
     ),
-    ErrorKind.BUSY: Answer(429, _NO, True, "too much is asked at once"),
+    ErrorKind.BUSY: Answer(429, _NO, True, "too many requests at once"),
     ErrorKind.INTERNAL: Answer(500, _UNKNOWN, False, "an unexpected error"),
 }
 
 
 class Failure(Struct, frozen=True):
-    """One error: its kind, what it was about and when to come back.
+    """One error: its kind, its subject and when to retry.
 
-    `run` overrides the table's default where the daemon knows better; None
-    takes the default. `retry_after_ms` is 0 where there is nothing to wait for.
+    `run` replaces the table's default where the daemon has more precise knowledge;
+    None means the default. `retry_after_ms` is 0 if no delay is suggested.
     """
 
     kind: ErrorKind
@@ -126,24 +144,24 @@
 
     @property
     def answer(self) -> Answer:
-        """Return the table's answer to this kind."""
+        """Return the table's answer for this kind."""
         return ANSWERS[self.kind]
 
     @property
     def has_run(self) -> Run:
-        """Return whether the request ran, sharpened where it is known."""
+        """Return whether the request ran: `run`, or else the table's default."""
         return self.answer.run if self.run is None else self.run
 
     @property
     def text(self) -> str:
-        """Return one line for people: the table's text and the detail."""
+        """Return a line for display: the table's text and the detail."""
         if not self.detail:
             return self.answer.text
         return f"{self.answer.text}: {self.detail}"
 
 
 class PepperstairError(Exception):
-    """A failure raised where a result cannot be returned, as in a protocol."""
+    """A failure, raised where no `Result` can be returned, as in a protocol."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(failure.text)
--- a/packages/pepperstair-core/pepperstair_core/events.py
+++ b/packages/pepperstair-core/pepperstair_core/events.py
@@ -1,7 +1,7 @@
 """The closed list of log event names.
 
-Log lines carry one of these names, so that alerts written against them keep
-working; the operations page says what each means and what to do.
+Each log line has one of these names, so that alerts based on them keep working. The
+operations page documents the meaning of each and the action to take.
 """
 
 from __future__ import annotations
--- a/packages/pepperstair-core/pepperstair_core/intent.py
+++ b/packages/pepperstair-core/pepperstair_core/intent.py
@@ -1,6 +1,6 @@
-"""What operators state: one intent document per customer.
+"""Intent documents: the configuration that operators declare, one per customer.
 
-A document names services by selectors over target labels, routes by selectors
+A document defines services by selectors over target labels, routes with selectors
 over proxy labels, policies and label overrides. It never lists VMs.
 """
 
@@ -17,27 +17,27 @@
 from .labels import is_label_name, iter_label_faults, parse_selector
 from .schema import Fault, Option, read_document
 
-# Bounds the time for which the reading of a version holds up a proxy's only thread.
+# Limits the time for which reading a version blocks the proxy's single thread.
 MAX_ROUTES: Final = 10_000
 MAX_SERVICES: Final = 500
 PRIORITIES: Final = ("urgent", "normal", "deferrable")
 
 
 class Service(Struct, frozen=True):
-    """A set of targets, chosen by their labels."""
+    """A set of targets, selected by their labels."""
 
     name: Annotated[str, Option("Name that routes refer to.")]
     selector: Annotated[str, Option("Selector over target labels.")]
 
 
 class Split(Struct, frozen=True):
-    """A service that takes a share of a route's requests."""
+    """A service that receives a share of a route's requests."""
 
     service: Annotated[str, Option("Service of the same document.")]
     weight: Annotated[
         int,
         Option(
-            "Share of the requests, beside the weights of the other splits.",
+            "Share of the requests, relative to the weights of the other splits.",
             minimum=0,
             maximum=1_000_000,
         ),
@@ -45,14 +45,14 @@
 
 
 class Route(Struct, frozen=True):
-    """Where requests with a host and path prefix go, and how they are treated."""
+    """The service for requests with a host and path prefix, and their handling."""
 
     name: Annotated[str, Option("Name of the route, unique in the document.")]
     path_prefix: Annotated[str, Option("Path prefix that the route matches.")]
     service: Annotated[
         str,
         Option(
-            "Service of the same document that the requests go to; empty with splits."
+            "Service of the same document that gets the requests; empty with splits."
         ),
     ] = ""
     host: Annotated[str, Option("Host that the route matches; empty for all.")] = ""
@@ -98,21 +98,21 @@
 
 
 class Policy(Struct, frozen=True):
-    """Limits for the targets that a selector chooses."""
+    """Limits for the targets that a selector matches."""
 
     name: Annotated[str, Option("Name of the policy, unique in the document.")]
     selector: Annotated[str, Option("Selector over target labels.")]
     n_queued_max: Annotated[
         int,
-        Option("Requests that may wait beside one target.", minimum=0, maximum=10_000),
+        Option("Requests that may wait for one target.", minimum=0, maximum=10_000),
     ] = 256
     retry_budget_percent: Annotated[
-        int, Option("Retries allowed for each hundred calls.", minimum=0, maximum=100)
+        int, Option("Retries allowed per hundred calls.", minimum=0, maximum=100)
     ] = 10
     ejection_errors: Annotated[
         int,
         Option(
-            "Errors in a row after which a target is ejected for a while.",
+            "Consecutive errors after which a target is temporarily ejected.",
             minimum=1,
             maximum=1000,
         ),
@@ -128,10 +128,10 @@
 
 
 class LabelOverride(Struct, frozen=True):
-    """Labels that operators set on a workload, over those it announced."""
+    """Labels that operators set on a workload, replacing those it announced."""
 
     workload: Annotated[
-        str, Option("Name of the VM or target that carries the labels.")
+        str, Option("Name of the VM or target that the labels are set on.")
     ]
     labels: Annotated[
         dict[str, str], Option("Labels to set; an empty value removes one.")
@@ -139,7 +139,7 @@
 
 
 class Objectives(Struct, frozen=True):
-    """Service-level objectives that the burn report measures against."""
+    """Service-level objectives that the burn report is computed against."""
 
     availability_percent: Annotated[
         float,
@@ -160,7 +160,7 @@
 
 
 class Intent(Struct, frozen=True):
-    """All that the operators of one customer have stated."""
+    """The whole intent document of one customer."""
 
     customer: Annotated[str, Option("Customer whose document this is.")]
     services: Annotated[tuple[Service, ...], Option("Services.")] = ()
@@ -173,24 +173,24 @@
 
 
 def parse_intent_toml(text: str) -> Result[Intent, list[Fault]]:
-    """Parse and validate a TOML intent document, listing every fault."""
+    """Parse and validate a TOML intent document, or return every fault."""
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        return Err([Fault("document", f"TOML ({error})")])
+        return Err([Fault("document", f"valid TOML ({error})")])
     return read_intent(table)
 
 
 def read_intent(table: object) -> Result[Intent, list[Fault]]:
-    """Read an intent from a parsed table and validate the whole of it."""
+    """Read and validate an intent from a parsed table, or return every fault."""
     return read_document(Intent, table, iter_intent_faults)
 
 
 def iter_intent_faults(intent: Intent) -> Iterator[Fault]:
-    """Yield every fault of a document as a whole.
+    """Yield the faults of a document that no single key shows.
 
-    A route whose service is missing would send its requests nowhere, so it is
-    a fault of the document and never reaches a proxy.
+    A route whose service is missing has no destination for its requests. It is a
+    fault of the document, so such a route never reaches a proxy.
     """
     if not is_label_name(intent.customer):
         yield Fault("customer", f"a name, not {intent.customer!r}")
@@ -204,8 +204,8 @@
         if route.splits or route.service not in known:
             yield from _iter_destination_faults(f"routes[{index}]", route, known)
         if not route.path_prefix.startswith("/"):
-            wanted = f"a path that starts with '/', not {route.path_prefix!r}"
-            yield Fault(f"routes[{index}].path_prefix", wanted)
+            expected = f"a path that starts with '/', not {route.path_prefix!r}"
+            yield Fault(f"routes[{index}].path_prefix", expected)
     yield from _iter_override_faults(intent)
 
 
@@ -213,18 +213,18 @@
     where: str, route: Route, known: set[str]
 ) -> Iterator[Fault]:
     if route.splits and route.service:
-        yield Fault(f"{where}.service", "nothing, as the route has splits")
+        yield Fault(f"{where}.service", "an empty string, as the route has splits")
     if route.splits and not any(split.weight for split in route.splits):
-        yield Fault(f"{where}.splits", "a weight over 0")
+        yield Fault(f"{where}.splits", "at least one weight above 0")
     for service in route.services:
         if service not in known:
-            wanted = f"a service of this document, not {service!r}"
+            expected = f"a service of this document, not {service!r}"
             key = "splits" if route.splits else "service"
-            yield Fault(f"{where}.{key}", wanted)
+            yield Fault(f"{where}.{key}", expected)
 
 
 def intent_to_table(intent: Intent) -> dict[str, object]:
-    """Return the document as plain tables, ready for JSON or msgpack."""
+    """Return the document as plain dicts and lists, for JSON or msgpack."""
     return msgspec.to_builtins(intent)
 
 
@@ -241,19 +241,19 @@
     seen = set()
     for index, item in enumerate(items):
         if item.name in seen:
-            wanted = f"a name used once, not {item.name!r} again"
-            yield Fault(f"{where}[{index}].name", wanted)
+            expected = f"a unique name, not {item.name!r} again"
+            yield Fault(f"{where}[{index}].name", expected)
         seen.add(item.name)
 
 
 def _iter_selector_faults(intent: Intent) -> Iterator[Fault]:
-    stated = (
+    selectors = (
         ("services", "selector", [item.selector for item in intent.services]),
         ("routes", "proxies", [item.proxies for item in intent.routes]),
         ("policies", "selector", [item.selector for item in intent.policies]),
     )
-    for part, key, texts in stated:
-        # Thousands of routes share a few selectors.
+    for part, key, texts in selectors:
+        # Thousands of routes share a few selectors; each text is parsed once.
         parsed = {text: parse_selector(text) for text in set(texts)}
         if all(selector.is_ok() for selector in parsed.values()):
             continue
@@ -267,8 +267,8 @@
     for index, override in enumerate(intent.label_overrides):
         where = f"label_overrides[{index}]"
         if override.workload in seen:
-            wanted = f"a workload named once, not {override.workload!r} again"
-            yield Fault(f"{where}.workload", wanted)
+            expected = f"a unique workload, not {override.workload!r} again"
+            yield Fault(f"{where}.workload", expected)
         seen.add(override.workload)
         if not is_label_name(override.workload):
             yield Fault(f"{where}.workload", f"a name, not {override.workload!r}")
--- a/packages/pepperstair-core/pepperstair_core/json_text.py
+++ b/packages/pepperstair-core/pepperstair_core/json_text.py
@@ -1,4 +1,4 @@
-"""JSON from outside, which may be anything."""
+"""Parsing of JSON from untrusted sources."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def parse_json(text: str | bytes) -> Any:
-    """Return what a text says, or raise ValueError.
+    """Return the parsed value of a JSON text, or raise ValueError.
 
-    The parser itself raises RecursionError for one that is nested too deeply, which
-    callers that expect malformed text would not catch.
+    For a text that is nested too deeply, `json.loads` raises RecursionError, which
+    callers that handle malformed text would not catch.
 
     >>> parse_json(b"[1]")
     [1]
--- a/packages/pepperstair-core/pepperstair_core/label_edits.py
+++ b/packages/pepperstair-core/pepperstair_core/label_edits.py
@@ -15,8 +15,8 @@
 class LabelEdit(Struct, frozen=True):
     """One label to change.
 
-    An empty value takes the label away, also where the workload announces it;
-    None forgets what operators set, so that the announced label counts again.
+    An empty value removes the label, even if the workload announces it. None removes
+    the operators' override, so that the announced label applies again.
     """
 
     key: str
@@ -24,7 +24,7 @@
 
 
 def parse_label_edit(text: str) -> Result[LabelEdit, str]:
-    """Parse `key=value` or `key-`, or say what was expected.
+    """Parse `key=value` or `key-`, or return what was expected.
 
     >>> parse_label_edit("canary-").ok()
     LabelEdit(key='canary', value='')
@@ -40,9 +40,9 @@
 
 
 def edit_labels(intent: Intent, workload: str, edits: Iterable[LabelEdit]) -> Intent:
-    """Return the document with the edits made to the overrides of a workload."""
-    held = (o.labels for o in intent.label_overrides if o.workload == workload)
-    labels = dict(next(held, {}))
+    """Return the document with the edits applied to a workload's override."""
+    current = (o.labels for o in intent.label_overrides if o.workload == workload)
+    labels = dict(next(current, {}))
     for edit in edits:
         labels.pop(edit.key, None)
         if edit.value is not None:
@@ -52,15 +52,18 @@
 
 
 def _iter_overrides(intent: Intent, edited: LabelOverride) -> Iterator[LabelOverride]:
-    """Yield the overrides in their order, the edited one last where it is new."""
-    is_placed = not edited.labels
+    """Yield the overrides in their order, with the edited one last if it is new.
+
+    An edited override without labels is dropped.
+    """
+    is_done = not edited.labels
     for override in intent.label_overrides:
         if override.workload != edited.workload:
             yield override
         elif edited.labels:
             yield edited
-            is_placed = True
-    if not is_placed:
+            is_done = True
+    if not is_done:
         yield edited
 
 
--- a/packages/pepperstair-core/pepperstair_core/labels.py
+++ b/packages/pepperstair-core/pepperstair_core/labels.py
@@ -1,4 +1,4 @@
-"""Labels and the selectors over them, as Kubernetes label selectors read.
+"""Labels and label selectors, in the syntax of Kubernetes label selectors.
 
 >>> selector = parse_selector("app=ledger, tier in (a, b), !canary").ok()
 >>> selector.matches({"app": "ledger", "tier": "a"})
@@ -28,7 +28,7 @@
 
 
 class Operator(StrEnum):
-    """How one requirement compares a label with its values."""
+    """The comparison that a requirement makes with a label."""
 
     IN = "in"
     NOT_IN = "notin"
@@ -37,14 +37,14 @@
 
 
 class Requirement(Struct, frozen=True):
-    """One comma-separated part of a selector."""
+    """One comma-separated requirement of a selector."""
 
     key: str
     operator: Operator
     values: frozenset[str] = frozenset()
 
     def matches(self, labels: Labels) -> bool:
-        """Return whether the labels meet this requirement."""
+        """Return whether the labels satisfy this requirement."""
         if self.operator is Operator.EXISTS:
             return self.key in labels
         if self.operator is Operator.NOT_EXISTS:
@@ -55,18 +55,18 @@
 
 
 class Selector(Struct, frozen=True):
-    """A conjunction of requirements; without any, it matches everything."""
+    """A conjunction of requirements; an empty one matches everything."""
 
     requirements: tuple[Requirement, ...] = ()
 
     def matches(self, labels: Labels) -> bool:
-        """Return whether the labels meet every requirement."""
+        """Return whether the labels satisfy all requirements."""
         return all(requirement.matches(labels) for requirement in self.requirements)
 
 
 @functools.lru_cache(maxsize=4096)
 def parse_selector(text: str) -> Result[Selector, str]:
-    """Parse a selector, or say in one phrase what is wrong with it."""
+    """Parse a selector, or return a phrase that describes the error."""
     if not text.strip():
         return Ok(Selector())
     requirements = []
@@ -81,12 +81,15 @@
 
 
 def is_label_name(text: str) -> bool:
-    """Return whether a text may stand as a label's key or value."""
+    """Return whether a text is valid as a label's key or value."""
     return _NAME_PATTERN.fullmatch(text) is not None
 
 
 def iter_label_faults(where: str, labels: Labels) -> Iterator[Fault]:
-    """Yield a fault for each label that no selector could name."""
+    """Yield a fault for each label that no selector could match.
+
+    An empty value is allowed: in overrides it removes a label.
+    """
     for key, value in labels.items():
         if not is_label_name(key) or (value and not is_label_name(value)):
             yield Fault(f"{where}.{key}", "a label name and value")
--- a/packages/pepperstair-core/pepperstair_core/policies.py
+++ b/packages/pepperstair-core/pepperstair_core/policies.py
@@ -15,7 +15,7 @@
 
 
 class CompiledPolicy(Struct, frozen=True):
-    """A policy with the customer that stated it and its parsed selector."""
+    """A policy with the customer that defines it and its parsed selector."""
 
     customer: str
     policy: Policy
@@ -23,12 +23,18 @@
 
 
 class PolicyTable(Struct, frozen=True):
-    """The policies in force. A customer's policies hold for its calls only."""
+    """The policies in force.
+
+    A customer's policies apply to the calls of that customer only.
+    """
 
     policies: tuple[CompiledPolicy, ...] = ()
 
     def find(self, customer: str, target_labels: Labels) -> Policy:
-        """Return the first policy of a customer that selects a target."""
+        """Return the first policy of a customer that selects a target.
+
+        Without a match, return `DEFAULT_POLICY`.
+        """
         for compiled in self.policies:
             if compiled.customer != customer:
                 continue
@@ -38,7 +44,7 @@
 
 
 def compile_policies(snapshots: Iterable[Snapshot]) -> PolicyTable:
-    """Compile the policies in force, in the order in which they are stated."""
+    """Compile the policies in force, in the order of the snapshots."""
     return PolicyTable(
         tuple(
             CompiledPolicy(
--- a/packages/pepperstair-core/pepperstair_core/routing.py
+++ b/packages/pepperstair-core/pepperstair_core/routing.py
@@ -1,8 +1,8 @@
-"""The routes of one proxy, compiled with the services they need.
+"""The routes of one proxy, compiled with the services they refer to.
 
-A table is built in one pass from the snapshots in force and never changed: a
-route stands in it only together with its service, so that no request meets a
-route whose service is missing.
+A route table is built in one pass from the snapshots in force and is immutable. It
+contains a route only together with its service, so no request matches a route whose
+service is missing.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 class CompiledRoute(Struct, frozen=True):
-    """A route of this proxy with its service and the version it came from.
+    """A route of this proxy with its service and the version that defines it.
 
-    A route with splits has them in `parts`, each with its weight; its own
-    service is that of the first part.
+    For a route with splits, `parts` holds one compiled route per split with its
+    weight, and `service` is the service of the first split.
     """
 
     customer: str
@@ -40,27 +40,28 @@
 
 
 def pick_part(compiled: CompiledRoute, rng: Random) -> CompiledRoute:
-    """Return the part of a route that a request goes to.
+    """Return the destination for one request, drawn at random by the split weights.
 
-    The weights alone decide: a part
-    without room refuses its requests, as an operator who tries a new version
-    on a tenth of the traffic must never find the rest of it there.
+    Only the weights decide. A destination without capacity refuses its requests
+    rather than passing them to another split: an operator who tries a new version on
+    a tenth of the traffic must never see the remaining traffic go to it.
     """
     if not compiled.parts:
         return compiled
-    left = rng.random() * sum(weight for weight, _ in compiled.parts)
-    for weight, part in compiled.parts:
-        left -= weight
-        if left < 0:
-            return part
+    remaining = rng.random() * sum(weight for weight, _ in compiled.parts)
+    for weight, destination in compiled.parts:
+        remaining -= weight
+        if remaining < 0:
+            return destination
     return compiled.parts[-1][1]
 
 
 class RouteTable:
-    """Every route of this proxy, found by the longest prefix, and the policies.
+    """The routes of this proxy, matched by the longest prefix, and the policies.
 
-    Looking a request up costs one dictionary access for each prefix of its
-    path, however many routes there are; a scan would grow with the customers.
+    A look-up costs one dictionary access per prefix of the request's path,
+    independent of the number of routes; the cost of a linear scan would grow with the
+    number of customers.
     """
 
     __slots__ = ("_by_host", "policies", "routes")
@@ -77,14 +78,14 @@
             route = compiled.route
             by_prefix = self._by_host.setdefault(route.host, {})
             known = by_prefix.setdefault(route.path_prefix, compiled)
-            if known is not compiled and _order(compiled) < _order(known):
+            if known is not compiled and _precedence(compiled) < _precedence(known):
                 by_prefix[route.path_prefix] = compiled
 
     def match(self, host: str, path: str) -> CompiledRoute | None:
         """Return the most specific route for a request, or None.
 
-        A route for the request's host goes before one for every host, and a
-        longer prefix before a shorter one.
+        A route for the request's host takes precedence over one for all hosts, and
+        a longer prefix over a shorter one.
         """
         if host and host in self._by_host:
             found = _longest_prefix(self._by_host[host], path)
@@ -104,7 +105,7 @@
 
 
 def _iter_prefixes(path: str) -> Iterator[str]:
-    """Yield the path cut at each slash, longest first, with and without it.
+    """Yield the path truncated at each slash, with and without it, longest first.
 
     >>> list(_iter_prefixes("/a/b"))
     ['/a/b', '/a/', '/a', '/']
@@ -120,7 +121,10 @@
 
 
 class Endpoint(Struct, frozen=True):
-    """A target, the member beside which it runs and the policy for its calls."""
+    """A target, its VM's address and zone, and the policy for calls to it.
+
+    `key` identifies the target in the fleet: the name of its VM and its own name.
+    """
 
     vm: str
     availability_zone: str
@@ -130,28 +134,30 @@
     key: tuple[str, str] = ("", "")
 
     def __post_init__(self) -> None:
-        """Keep what names the target in the fleet: its VM and its name."""
+        """Set `key` to the names of the VM and the target."""
         force_setattr(self, "key", (self.vm, self.target.name))
 
 
 def compile_routes(snapshots: Iterable[Snapshot], proxy_labels: Labels) -> RouteTable:
     """Compile the routes that select a proxy, from the snapshots in force.
 
-    Of routes with the same host and prefix the first by customer and name counts,
-    so that every proxy with the same versions and labels decides alike.
+    Of routes with the same host and prefix, the first by customer and name is used,
+    so that all proxies with the same versions and labels decide alike.
     """
-    held = tuple(snapshots)
-    return RouteTable(_iter_compiled(held, proxy_labels), compile_policies(held))
+    in_force = tuple(snapshots)
+    return RouteTable(
+        _iter_compiled_routes(in_force, proxy_labels), compile_policies(in_force)
+    )
 
 
 class EndpointTable:
-    """The endpoints of each service, kept until members or overrides change.
+    """The endpoints of each service, cached until members or overrides change.
 
-    Walking all members for each call would cost a millisecond in a fleet of
-    600; members change seldom beside the calls.
+    Iterating over all members for each call would cost 1 ms in a fleet of 600, and
+    members change far less often than calls arrive.
     """
 
-    __slots__ = ("_chosen", "_members", "_overrides", "_policies", "_reused")
+    __slots__ = ("_chosen", "_members", "_overrides", "_policies", "_reusable")
 
     def __init__(
         self,
@@ -160,27 +166,28 @@
         policies: PolicyTable = NO_POLICIES,
         previous: EndpointTable | None = None,
     ) -> None:
-        """Take over from the previous table what holds of the same members.
+        """Build a table that reuses the endpoints of unchanged members.
 
-        Members change one at a time; the endpoints of the unchanged ones are kept.
+        Members change one at a time, so most endpoints of the `previous` table are
+        still valid. Nothing is reused if the overrides or the policies differ.
         """
         self._members = tuple(members)
         self._overrides = overrides or {}
         self._policies = policies
         self._chosen: dict[tuple[Selector, str], _ChosenEndpoints] = {}
-        self._reused: dict[tuple[Selector, str], _ChosenEndpoints] = {}
+        self._reusable: dict[tuple[Selector, str], _ChosenEndpoints] = {}
         if previous is not None and previous._is_for(self._overrides, policies):
-            self._reused = previous._chosen or previous._reused
+            self._reusable = previous._chosen or previous._reusable
 
     def endpoints(self, selector: Selector, customer: str = "") -> tuple[Endpoint, ...]:
-        """Return the targets that a service's selector chooses, by name.
+        """Return the endpoints that a service's selector matches, in order of `key`.
 
-        Each carries the policy that the customer states for its calls to it. The
-        same tuple is returned for as long as none of its endpoints changes.
+        Each carries the customer's policy for calls to it. The same tuple is returned
+        until one of its endpoints changes.
         """
         chosen = self._chosen.get((selector, customer))
         if chosen is None:
-            before = self._reused.get((selector, customer), _NOTHING_CHOSEN)
+            before = self._reusable.get((selector, customer), _NOTHING_CHOSEN)
             chosen = self._choose(selector, customer, before)
             self._chosen[(selector, customer)] = chosen
         return chosen.endpoints
@@ -207,7 +214,10 @@
 
 
 class _ChosenEndpoints(Struct, frozen=True):
-    """The endpoints that a selector chose, by name and by their VM's record."""
+    """The endpoints that a selector matches: sorted by key, and grouped by VM.
+
+    `by_vm` maps the name of a VM to its member record and the member's endpoints.
+    """
 
     endpoints: tuple[Endpoint, ...] = ()
     by_vm: Mapping[str, tuple[Member, tuple[Endpoint, ...]]] = field(
@@ -224,7 +234,10 @@
     overrides: Mapping[str, Labels],
     policy_of: Callable[[Labels], Policy] = lambda labels: DEFAULT_POLICY,
 ) -> Iterator[Endpoint]:
-    """Yield the targets that a selector chooses and that take work."""
+    """Yield the endpoints that a selector matches and that accept calls.
+
+    Targets that are draining and members that are not usable are left out.
+    """
     for member in members:
         if not member.is_usable:
             continue
@@ -245,7 +258,10 @@
 def effective_labels(
     vm: str, target: Target, overrides: Mapping[str, Labels]
 ) -> Labels:
-    """Return a target's labels with the operators' overrides applied."""
+    """Return a target's labels after the operators' overrides.
+
+    The override of the VM is applied first, then that of the target.
+    """
     labels = dict(target.labels)
     for workload in (vm, target.name):
         apply_override(labels, overrides.get(workload, {}))
@@ -253,7 +269,7 @@
 
 
 def apply_override(labels: dict[str, str], override: Labels) -> None:
-    """Set the labels of an override; an empty value removes a label."""
+    """Apply an override to `labels` in place; an empty value removes a label."""
     for key, value in override.items():
         if value:
             labels[key] = value
@@ -264,22 +280,23 @@
 def overrides_of(snapshots: Iterable[Snapshot]) -> dict[str, Labels]:
     """Return the label overrides in force, by workload.
 
-    Where two customers override one workload the last by name wins, on every
-    daemon alike, whatever order their versions arrived in.
+    If several customers override the same workload, the last customer by name wins.
+    This gives the same result on all daemons, regardless of the order in which the
+    versions arrived.
     """
-    in_order = sorted(snapshots, key=lambda snapshot: snapshot.head.customer)
+    by_customer = sorted(snapshots, key=lambda snapshot: snapshot.head.customer)
     return {
         override.workload: override.labels
-        for snapshot in in_order
+        for snapshot in by_customer
         for override in snapshot.intent.label_overrides
     }
 
 
-def _iter_compiled(
+def _iter_compiled_routes(
     snapshots: Iterable[Snapshot], proxy_labels: Labels
 ) -> Iterator[CompiledRoute]:
-    # Thousands of routes share a few selectors; each of those is asked once.
-    selects = functools.cache(
+    # Thousands of routes share a few selectors; each selector is matched once.
+    selects_proxy = functools.cache(
         lambda text: parse_selector(text).unwrap().matches(proxy_labels)
     )
     for snapshot in snapshots:
@@ -289,7 +306,7 @@
         }
         customer, version = snapshot.head.customer, snapshot.head.version
         for route in snapshot.intent.routes:
-            if not selects(route.proxies):
+            if not selects_proxy(route.proxies):
                 continue
             if route.splits:
                 yield _compile_split(snapshot.head, route, services)
@@ -312,7 +329,7 @@
     return endpoint.key
 
 
-def _order(compiled: CompiledRoute) -> tuple[str, str]:
+def _precedence(compiled: CompiledRoute) -> tuple[str, str]:
     return (compiled.customer, compiled.route.name)
 
 
--- a/packages/pepperstair-core/pepperstair_core/schema.py
+++ b/packages/pepperstair-core/pepperstair_core/schema.py
@@ -1,8 +1,8 @@
-"""Typed documents: options declared on frozen structs, read with faults.
+"""Typed documents: options declared on frozen structs, and their validation.
 
-Settings and intent documents are structs whose fields carry a sentence of
-explanation and a range. `read_record` turns a parsed TOML or JSON table into
-such a struct, or lists every fault in it at once:
+Settings and intent documents are structs whose fields are annotated with a
+description and a range. `read_record` converts a parsed TOML or JSON table to such a
+struct, or returns all of its faults at once:
 
 >>> class Door(Struct, frozen=True):
 ...     width_mm: Annotated[int, Option("Clear width.", minimum=1)] = 900
@@ -25,7 +25,7 @@
 
 
 class Fault(Struct, frozen=True):
-    """One thing wrong in a document: where, and what was expected there."""
+    """A validation error of a document: its location and what was expected there."""
 
     where: str
     expected: str
@@ -34,34 +34,34 @@
         return f"{self.where}: expected {self.expected}"
 
 
-class Form(Struct, frozen=True):
-    """What a string must look like: the words for it and the check."""
+class TextFormat(Struct, frozen=True):
+    """A format that a string must have: its description and the check."""
 
     expected: str
     accepts: Callable[[str], bool]
 
 
 class Option(Struct, frozen=True):
-    """The declaration of one field of a document: its sentence and its range."""
+    """The declaration of one field of a document: its description and its range."""
 
     doc: str
     minimum: int | float | None = None
     maximum: int | float | None = None
     choices: tuple[str, ...] = ()
-    form: Form | None = None
+    text_format: TextFormat | None = None
 
 
 class OptionEntry(Struct, frozen=True):
-    """One option of a document as the page of settings lists it."""
+    """One option of a document as the settings page lists it."""
 
     name: str
     type_name: str
     default: Any
-    declared: Option
+    option: Option
 
     @property
     def is_required(self) -> bool:
-        """Return whether a document must name the option."""
+        """Return whether a document must contain the option."""
         return self.default is NODEFAULT
 
 
@@ -71,7 +71,7 @@
     name: str
     hint: Any
     default: Any
-    declared: Option
+    option: Option
 
     @property
     def is_required(self) -> bool:
@@ -87,11 +87,11 @@
 
 
 def _split_hint(hint: Any, default: Any) -> tuple[Any, Any, Option]:
-    """Take the declaration off an annotation."""
+    """Return the bare type of an annotation, the default and the declaration."""
     if typing.get_origin(hint) is not Annotated:
         return hint, default, Option("")
-    declared = next(m for m in hint.__metadata__ if isinstance(m, Option))
-    return hint.__origin__, default, declared
+    option = next(m for m in hint.__metadata__ if isinstance(m, Option))
+    return hint.__origin__, default, option
 
 
 def _default_of(item: structs.FieldInfo) -> Any:
@@ -115,12 +115,12 @@
     iter_faults: Callable[[T], Iterator[Fault]],
     where: str = "",
 ) -> Result[T, list[Fault]]:
-    """Read a table, then check it as a whole with `iter_faults`.
+    """Read a table, then validate the record as a whole with `iter_faults`.
 
-    The check of the whole also runs where single keys are wrong, with neutral
-    values in their place: operators would otherwise mend a file, run the check
-    again and find the next fault. A fault of the whole at a key that is wrong
-    by itself is left out, as it would only follow from the neutral value.
+    The validation of the whole record also runs if single keys are invalid, with
+    placeholder values in their place: operators would otherwise correct a file, run
+    the check again and get the next fault. Faults that `iter_faults` reports at a key
+    that is already invalid are left out, as they only result from the placeholder.
     """
     faults: list[Fault] = []
     record = _read_table(cls, table, where, faults)
@@ -130,14 +130,14 @@
 
 
 def iter_options(cls: type, where: str = "") -> Iterator[OptionEntry]:
-    """Yield each option of a document class, by its dotted name."""
+    """Yield each option of a document class, with its dotted name."""
     for item in _fields_of(cls):
         name = _join(where, item.name)
         if _is_struct(item.hint):
             yield from iter_options(item.hint, name)
             continue
         type_name = _type_name(item.hint)
-        yield OptionEntry(name, type_name, item.default, item.declared)
+        yield OptionEntry(name, type_name, item.default, item.option)
 
 
 def _type_name(hint: Any) -> str:
@@ -153,8 +153,8 @@
 
 def _read_table(cls: Any, table: object, where: str, faults: list[Fault]) -> Any:
     if not isinstance(table, Mapping):
-        faults.append(Fault(where or "document", f"a table, not {_shown(table)}"))
-        return _neutral(cls)
+        faults.append(Fault(where or "document", f"a table, not {_short_repr(table)}"))
+        return _placeholder(cls)
     fields = {item.name: item for item in _fields_of(cls)}
     for key in table:
         if key not in fields:
@@ -164,86 +164,94 @@
     for name, item in fields.items():
         if name in table:
             values[name] = _read_value(
-                item.hint, table[name], _join(where, name), item.declared, faults
+                item.hint, table[name], _join(where, name), item.option, faults
             )
         elif item.is_required:
             faults.append(Fault(_join(where, name), "a value, this key is required"))
-            values[name] = _neutral(item.hint)
+            values[name] = _placeholder(item.hint)
     return cls(**values)
 
 
-def _neutral(expected: Any) -> Any:
-    """Return a value of a type, to stand for one that could not be read."""
+def _placeholder(expected: Any) -> Any:
+    """Return a valid value of a type, in place of one that could not be read."""
     if _is_struct(expected):
         required = (item for item in _fields_of(expected) if item.is_required)
-        return expected(**{item.name: _neutral(item.hint) for item in required})
+        return expected(**{item.name: _placeholder(item.hint) for item in required})
     return (typing.get_origin(expected) or expected)()
 
 
 def _read_value(
-    expected: Any, value: Any, where: str, declared: Option, faults: list[Fault]
+    expected: Any, value: Any, where: str, option: Option, faults: list[Fault]
 ) -> Any:
     if _is_struct(expected):
         return _read_table(expected, value, where, faults)
     origin = typing.get_origin(expected)
     if origin is tuple:
-        return _read_list(expected, value, where, declared, faults)
+        return _read_list(expected, value, where, option, faults)
     if origin in (types.UnionType, typing.Union):
         inner = next(a for a in typing.get_args(expected) if a is not type(None))
-        return _read_value(inner, value, where, declared, faults)
+        return _read_value(inner, value, where, option, faults)
     if origin is dict:
         return _read_strings(value, where, faults)
-    return _read_scalar(expected, value, where, declared, faults)
+    return _read_scalar(expected, value, where, option, faults)
 
 
 def _read_list(
-    expected: Any, value: Any, where: str, declared: Option, faults: list[Fault]
+    expected: Any, value: Any, where: str, option: Option, faults: list[Fault]
 ) -> tuple[Any, ...]:
     if not isinstance(value, (list, tuple)):
-        faults.append(Fault(where, f"a list, not {_shown(value)}"))
+        faults.append(Fault(where, f"a list, not {_short_repr(value)}"))
         return ()
     inner = typing.get_args(expected)[0]
     return tuple(
-        _read_value(inner, item, f"{where}[{index}]", declared, faults)
+        _read_value(inner, item, f"{where}[{index}]", option, faults)
         for index, item in enumerate(value)
     )
 
 
 def _read_strings(value: Any, where: str, faults: list[Fault]) -> dict[str, str]:
     if not isinstance(value, Mapping):
-        faults.append(Fault(where, f"a table of strings, not {_shown(value)}"))
+        faults.append(Fault(where, f"a table of strings, not {_short_repr(value)}"))
         return {}
     for key, item in value.items():
         if not isinstance(item, str):
             faults.append(
-                Fault(_join(where, str(key)), f"a string, not {_shown(item)}")
+                Fault(_join(where, str(key)), f"a string, not {_short_repr(item)}")
             )
     return {key: item for key, item in value.items() if isinstance(item, str)}
 
 
 def _read_scalar(
-    expected: Any, value: Any, where: str, declared: Option, faults: list[Fault]
+    expected: Any, value: Any, where: str, option: Option, faults: list[Fault]
 ) -> Any:
     if expected is float and type(value) is int:
         value = float(value)
     if type(value) is not expected:
-        faults.append(Fault(where, f"{_NAMES[expected]}, not {_shown(value)}"))
-        return _neutral(expected)
-    if declared.form is not None and not declared.form.accepts(value):
-        faults.append(Fault(where, f"{declared.form.expected}, not {_shown(value)}"))
-    if declared.choices and value not in declared.choices:
-        wanted = " or ".join(declared.choices)
-        faults.append(Fault(where, f"{wanted}, not {_shown(value)}"))
-    if declared.minimum is not None and value < declared.minimum:
-        limit = f"at least {declared.minimum}"
-        faults.append(Fault(where, f"{_NAMES[expected]} of {limit}, not {value}"))
-    if declared.maximum is not None and value > declared.maximum:
-        limit = f"at most {declared.maximum}"
-        faults.append(Fault(where, f"{_NAMES[expected]} of {limit}, not {value}"))
+        faults.append(
+            Fault(where, f"{_TYPE_PHRASES[expected]}, not {_short_repr(value)}")
+        )
+        return _placeholder(expected)
+    if option.text_format is not None and not option.text_format.accepts(value):
+        faults.append(
+            Fault(where, f"{option.text_format.expected}, not {_short_repr(value)}")
+        )
+    if option.choices and value not in option.choices:
+        alternatives = " or ".join(option.choices)
+        faults.append(Fault(where, f"{alternatives}, not {_short_repr(value)}"))
+    if option.minimum is not None and value < option.minimum:
+        limit = f"at least {option.minimum}"
+        faults.append(
+            Fault(where, f"{_TYPE_PHRASES[expected]} of {limit}, not {value}")
+        )
+    if option.maximum is not None and value > option.maximum:
+        limit = f"at most {option.maximum}"
+        faults.append(
+            Fault(where, f"{_TYPE_PHRASES[expected]} of {limit}, not {value}")
+        )
     return value
 
 
-_NAMES = {
+_TYPE_PHRASES = {
     str: "a string",
     int: "an integer",
     float: "a number",
@@ -255,16 +263,16 @@
     return f"{where}.{name}" if where else name
 
 
-def _shown(value: object) -> str:
+def _short_repr(value: object) -> str:
     text = repr(value)
     return text if len(text) <= 40 else f"{text[:37]}..."
 
 
 __all__ = [
     "Fault",
-    "Form",
     "Option",
     "OptionEntry",
+    "TextFormat",
     "iter_options",
     "read_document",
     "read_record",
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The list of known failures, and fleets of real processes for tests."""
+"""Registers the plug-in for known failures and the fixture of real processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         "--daemon",
         choices=tuple(DAEMONS),
         default="pepperstaird",
-        help="daemon that the process tests start; the naive one shows what they find",
+        help="daemon under test; the naive one shows which failures the tests detect",
     )
 
 
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def fleet(request: pytest.FixtureRequest) -> Iterator[Fleet]:
-    """An empty fleet with a platform stand-in, stopped after the test."""
+    """Provide a fleet with a platform stand-in only, and stop it after the test."""
     with running_fleet(DAEMONS[request.config.getoption("--daemon")]) as fleet:
         fleet.start_platform()
         yield fleet
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""The tests that may fail for now, as KNOWN-RED.txt lists them.
+"""A pytest plug-in for known failures, which KNOWN-RED.txt lists.
 
-A listed test that fails is printed and does not fail the run. Everything else that
-is off makes the run fail: a test that fails without being listed, a listed one that
-passes again or does not exist, and a list that is longer than allowed.
+A listed test that fails is printed and does not fail the run. The run fails if an
+unlisted test fails, if a listed test passes or does not exist, or if the list is
+longer than allowed.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """One line of the list."""
+    """One entry of the list."""
 
     test: str
     cause: str
@@ -29,29 +29,29 @@
 
 
 def read_known_red(text: str) -> list[KnownRed]:
-    """Read the list; a line with missing fields raises ValueError."""
+    """Parse the list, or raise ValueError for a line with missing fields."""
     lines = (line.strip() for line in text.splitlines())
-    return [_read_line(line) for line in lines if line and not line.startswith("#")]
+    return [_parse_line(line) for line in lines if line and not line.startswith("#")]
 
 
 def iter_list_faults(
     listed: Iterable[KnownRed], collected: set[str], passed: set[str]
 ) -> Iterator[str]:
-    """Yield a line for each entry that does not describe this run."""
+    """Yield a message if the list is too long, and for each outdated entry."""
     listed = list(listed)
     if len(listed) > N_LISTED_MAX:
-        yield f"KNOWN-RED.txt lists {len(listed)} tests, {N_LISTED_MAX} at the most"
+        yield f"KNOWN-RED.txt lists {len(listed)} tests, at most {N_LISTED_MAX} allowed"
     files = {test.partition("::")[0] for test in collected}
     for entry in listed:
         if entry.test in passed:
-            yield f"{entry.test} passes: take it off KNOWN-RED.txt"
+            yield f"{entry.test} passes: remove it from KNOWN-RED.txt"
         is_here = entry.test.partition("::")[0] in files
         if is_here and entry.test not in collected:
-            yield f"{entry.test} does not exist: take it off KNOWN-RED.txt"
+            yield f"{entry.test} does not exist: remove it from KNOWN-RED.txt"
 
 
 class KnownRedPlugin:
-    """Turns the failures of listed tests into a note, and a stale list into one."""
+    """Tolerates failures of listed tests, and fails the run if the list is outdated."""
 
     def __init__(self, path: Path) -> None:
         text = path.read_text() if path.exists() else ""
@@ -89,10 +89,12 @@
             terminalreporter.write_line(f"KNOWN-RED FAULT {fault}")
 
 
-def _read_line(line: str) -> KnownRed:
+def _parse_line(line: str) -> KnownRed:
     fields = [field.strip() for field in line.split("|")]
     if len(fields) != _N_FIELDS or not all(fields):
-        raise ValueError(f"KNOWN-RED.txt: test | cause | command | issue, not {line!r}")
+        raise ValueError(
+            f"KNOWN-RED.txt: expected test | cause | command | issue, not {line!r}"
+        )
     return KnownRed(*fields)
 
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages hold to the code, and their links lead somewhere."""
+"""The documentation pages match the code, and their links resolve."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def iter_rows(name: str) -> Iterator[list[str]]:
-    """Yield the cells of each table row of a page, without the headings."""
+    """Yield the cells of each table row of a page, except for heading rows."""
     for line in read(name).splitlines():
         if line.startswith("| `"):
             yield [cell.strip().strip("`") for cell in line.strip("|").split("|")]
@@ -48,24 +48,24 @@
     assert missing == []
 
 
-def test_every_page_is_reached_from_the_index():
+def test_every_page_is_linked_from_the_index():
     reached: set[Path] = set()
-    waiting = [DOCS / "index.md"]
-    while waiting:
-        page = waiting.pop().resolve()
+    pending = [DOCS / "index.md"]
+    while pending:
+        page = pending.pop().resolve()
         if page in reached or not page.is_relative_to(DOCS.resolve()):
             continue
         reached.add(page)
         links = re.findall(r"\]\(([^)#]+\.md)", page.read_text())
-        waiting += [page.parent / link for link in links]
+        pending += [page.parent / link for link in links]
     assert {page.resolve() for page in DOCS.rglob("*.md")} - reached == set()
 
 
-def test_page_of_settings_is_what_the_schema_says():
+def test_settings_page_matches_the_schema():
     assert read("user-guide/settings.md") == render_reference()
 
 
-def test_page_of_intent_names_every_key():
+def test_intent_page_lists_every_key():
     keys = {
         f"{part}.{entry.name}"
         for part, cls in iter_intent_parts()
@@ -90,7 +90,7 @@
         yield name, cls
 
 
-def test_page_of_errors_is_the_table_of_answers():
+def test_errors_page_matches_the_table_of_answers():
     expected = [
         [kind, str(answer.status), answer.run, "yes" if answer.is_retryable else "no"]
         for kind, answer in ANSWERS.items()
@@ -98,24 +98,24 @@
     assert [row[:4] for row in iter_rows("user-guide/errors.md")] == expected
 
 
-def test_page_of_logs_names_every_event():
+def test_logs_page_lists_every_event():
     rows = [row for row in iter_rows("operations/logs.md") if row[0] != "Event"]
     assert sorted(row[0] for row in rows) == sorted(Event)
     assert all(row[1] and row[2] for row in rows)
 
 
-def test_page_of_metrics_names_every_metric():
+def test_metrics_page_lists_every_metric():
     expected = [[each.name, each.unit, each.doc] for each in iter_metrics()]
     assert list(iter_rows("operations/metrics.md")) == expected
 
 
-def test_page_of_burn_names_every_alert():
+def test_burn_page_lists_every_alert():
     rows = {row[0]: float(row[1]) for row in iter_rows("operations/burn.md")}
     assert rows == {rule.name: rule.threshold for rule in ALERT_RULES}
 
 
 def iter_commands() -> Iterator[tuple[str, set[str]]]:
-    """Yield each command with its options, as cyclopts knows them."""
+    """Yield each command with its options, as registered with cyclopts."""
     for name in ("apply", "check", "diff", "explain", "get", "history", "label"):
         yield name, options_of(app[name])
     for name in ("status", "wait"):
@@ -135,30 +135,30 @@
     }
 
 
-def test_page_of_commands_names_every_command_and_option():
+def test_command_line_page_lists_every_command_and_option():
     text = read("user-guide/command-line.md")
     shared = text[: text.index("## apply")]
     sections = dict(re.findall(r"^## (.+)\n((?:(?!^## ).*\n?)*)", text, re.MULTILINE))
     for name, options in iter_commands():
         assert f"pepperstair {name}" in sections[name]
-        told = set(re.findall(r"`(--[a-z-]+)", shared + sections[name]))
-        assert options - told == set(), name
+        documented = set(re.findall(r"`(--[a-z-]+)", shared + sections[name]))
+        assert options - documented == set(), name
 
 
-def test_page_of_commands_names_no_option_that_is_not_there():
+def test_command_line_page_lists_no_unknown_option():
     known = set().union(*(options for _, options in iter_commands()))
-    told = set(re.findall(r"`(--[a-z-]+)", read("user-guide/command-line.md")))
-    assert told - known == set()
+    documented = set(re.findall(r"`(--[a-z-]+)", read("user-guide/command-line.md")))
+    assert documented - known == set()
 
 
-def test_every_command_is_on_the_page():
+def test_every_command_is_checked():
     known = {name for name in app if not name.startswith("-")}
     listed = {name.split()[0] for name, _ in iter_commands()}
     assert known == listed
 
 
 def iter_log_calls() -> Iterator[tuple[str, ast.Call]]:
-    """Yield each call of a module's logger with where it stands."""
+    """Yield each call of a module's logger with its location in the source."""
     for path in sorted((ROOT / "packages").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if (
@@ -171,8 +171,8 @@
                 yield f"{path.relative_to(ROOT)}:{node.lineno}", node
 
 
-def test_logs_carry_names_of_the_closed_list_only():
-    """A line with a name of its own is missed by every alert on the list."""
+def test_log_calls_use_only_names_of_the_closed_list():
+    """Guards against log lines with other names, which no alert matches."""
     calls = list(iter_log_calls())
     offenders = [
         where
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents written as TOML, and edits of the labels in them."""
+"""Intent documents written as TOML, and edits of their label overrides."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 @SEEDED
 @given(TEXTS, TEXTS, st.booleans(), LABELS)
 def test_toml_reads_back_unchanged(host, path, is_idempotent, labels):
-    """A quote or control character in a document that was fetched.
+    """Guards against wrong escaping of quotes and control characters.
 
-    Written wrongly, it would change a route when the operator applies what
-    `get` printed, or be refused although nothing was edited.
+    With it, applying the unedited output of `get` would change a route, or the
+    document would be rejected.
     """
     route = Route("r", f"/{path}", "s", host, is_idempotent=is_idempotent)
     intent = Intent(
@@ -47,8 +47,8 @@
 
 @SEEDED
 @given(EDITS)
-def test_edits_of_labels_end_as_one_by_one(edits):
-    """The last edit of a key decides, and other workloads are left alone."""
+def test_label_edits_have_the_effect_of_single_edits_in_order(edits):
+    """The last edit of a key is effective, and other workloads are unchanged."""
     other = LabelOverride("other", {"a": "kept"})
     intent = Intent("lantern", label_overrides=(other, LabelOverride("w", {"a": "x"})))
     expected = {"a": "x"}
@@ -62,8 +62,8 @@
     )
 
 
-def test_forms_of_label_edits():
+def test_syntax_of_label_edits():
     assert parse_label_edit("a=b").unwrap() == LabelEdit("a", "b")
     assert parse_label_edit("a-").unwrap() == LabelEdit("a", "")
-    for wrong in ("a", "=b", "a=", "-", "a=b c", "a=b-", ""):
-        assert parse_label_edit(wrong).is_err(), wrong
+    for invalid in ("a", "=b", "a=", "-", "a=b c", "a=b-", ""):
+        assert parse_label_edit(invalid).is_err(), invalid
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""The decisions stay free of I/O, clocks and hidden randomness."""
+"""The decision logic has no I/O, clocks or hidden randomness."""
 
 from __future__ import annotations
 
@@ -45,12 +45,13 @@
     assert offenders == []
 
 
-def test_daemon_on_the_users_platform_imports_what_it_runs():
-    """A daemon is killed and started again; its callers wait until it is back.
+def test_daemon_on_the_users_platform_imports_only_what_it_runs():
+    """Guards against a longer restart because of imports that are not used.
 
-    Most of that time goes into imports. What spreads the product's own snapshots
-    took an eighth of it, though nothing runs of it where the operators' document is
-    followed.
+    Callers wait until a killed daemon has restarted, and imports take most of that
+    time. Those of `pepperstair_core.distribution`, which distributes the product's
+    own snapshots, took an eighth of it, although none of it runs where a daemon
+    follows the operators' document on the users' platform.
     """
     program = (
         "from pepperstaird.running import run_daemon\n"
@@ -58,7 +59,7 @@
         "import sys\n"
         "print([n for n in sys.modules if n.startswith('pepperstair_core.distrib')])"
     )
-    ran = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", program], capture_output=True, text=True, check=True
     )
-    assert ran.stdout.strip() == "[]"
+    assert completed.stdout.strip() == "[]"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail for now."""
+"""The plug-in for tests that are known to fail."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def run(pytester: pytest.Pytester, *listed: str) -> pytest.RunResult:
-    """Run one good and one bad test with a list."""
+    """Run a passing and a failing test with the given tests listed."""
     lines = [f"test_it.py::{name} | cause | make test | issue 1" for name in listed]
     (pytester.path / "KNOWN-RED.txt").write_text("# a comment\n" + "\n".join(lines))
     pytester.makeconftest(CONFTEST)
@@ -30,7 +30,7 @@
     return pytester.runpytest_inprocess(*without)
 
 
-def test_listed_failure_is_printed_and_passed_over(pytester):
+def test_listed_failure_is_printed_and_tolerated(pytester):
     result = run(pytester, "test_bad")
     assert result.ret == pytest.ExitCode.OK
     result.stdout.fnmatch_lines(["KNOWN RED test_it.py::test_bad: cause"])
@@ -43,21 +43,21 @@
 @pytest.mark.parametrize(
     ("listed", "line"),
     [
-        (("test_bad", "test_good"), "*test_good passes: take it off*"),
-        (("test_bad", "test_gone"), "*test_gone does not exist: take it off*"),
-        (("test_bad", "a", "b", "c"), "*lists 4 tests, 3 at the most"),
+        (("test_bad", "test_good"), "*test_good passes: remove it from*"),
+        (("test_bad", "test_gone"), "*test_gone does not exist: remove it from*"),
+        (("test_bad", "a", "b", "c"), "*lists 4 tests, at most 3 allowed"),
     ],
 )
-def test_list_that_is_not_true_fails_the_run(pytester, listed, line):
-    """A fault was mended, or a test renamed, and its line was left behind.
+def test_outdated_list_fails_the_run(pytester, listed, line):
+    """Guards against entries of tests that were fixed or renamed.
 
-    From then on the list would hide the next real failure of that name.
+    The list would hide the next real failure of a test with that name.
     """
     result = run(pytester, *listed)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     result.stdout.fnmatch_lines([f"KNOWN-RED FAULT {line}"])
 
 
-def test_line_without_its_fields_is_refused():
+def test_line_with_missing_fields_is_rejected():
     with pytest.raises(ValueError):
         read_known_red("test_it.py::test_bad | cause")
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -12,7 +12,7 @@
 
 
 def snapshot_of(customer: str, *routes: Route, overrides=()) -> Snapshot:
-    """Return version 1 of a customer with one service and some routes."""
+    """Return version 1 of a customer with one service and the given routes."""
     service = Service("ledger", "app=ledger")
     intent = Intent(customer, (service,), routes, (), tuple(overrides))
     body = encode_intent(intent)
@@ -20,7 +20,7 @@
 
 
 def member_of(vm: str, state: MemberState, *targets: Target) -> Member:
-    """Return a member with some targets."""
+    """Return a member with the given targets."""
     return Member(vm, 1, 0, state, "z", "127.0.0.1:1", (), targets)
 
 
@@ -73,11 +73,11 @@
     assert [compiled.route.name for compiled in table.routes] == ["mine"]
 
 
-def test_two_customers_with_one_prefix_are_decided_alike_everywhere():
-    """Two customers state the same prefix, and versions arrive in any order.
+def test_two_customers_with_one_prefix_are_resolved_alike_on_all_proxies():
+    """Two customers define the same prefix, and versions arrive in either order.
 
-    If proxies disagreed, the same request would reach one customer's targets
-    here and the other's there.
+    If proxies decided differently, the same request would reach one customer's
+    targets through one proxy and the other customer's through another.
     """
     first, second = (
         snapshot_of(
@@ -92,7 +92,7 @@
         assert overrides_of(snapshots)["t1"] == {"app": "b"}
 
 
-def test_endpoints_leave_out_draining_targets_and_gone_members():
+def test_endpoints_exclude_draining_targets_and_gone_members():
     members = [
         member_of("a", MemberState.ALIVE, target_of("t1")),
         member_of("b", MemberState.SUSPECT, target_of("t2")),
@@ -118,10 +118,12 @@
     assert table.endpoints(parse_selector("app=ledger").unwrap()) == ()
 
 
-def test_endpoints_are_taken_over_until_their_member_changes():
-    """A target is drained, and another one appears, in a fleet that stays.
+def test_endpoints_are_reused_until_their_member_changes():
+    """Guards against stale endpoints after a member changes.
 
-    Taken over from the table of before, the drained one would go on being called.
+    One target starts draining and another one is added while the other members stay
+    the same. If its endpoint were reused from the previous table, the draining target
+    would still be called.
     """
     selector = parse_selector("app=ledger").unwrap()
     members = [
@@ -142,7 +144,7 @@
     assert after[0] is before[0]
 
 
-def test_endpoints_are_chosen_anew_under_other_overrides():
+def test_endpoints_are_recomputed_when_overrides_change():
     selector = parse_selector("app=ledger").unwrap()
     members = [member_of("a", MemberState.ALIVE, target_of("t1"))]
     table = EndpointTable(members)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and documents: every fault is listed in one run."""
+"""Settings and intent documents: all faults are reported in one run."""
 
 from __future__ import annotations
 
@@ -41,20 +41,21 @@
 
 
 def test_settings_list_the_faults_of_every_table_at_once():
-    """An operator mends one fault, starts the daemon and meets the next one.
+    """Guards against reporting the faults of a file one run at a time.
 
-    It used to come about because the checks of addresses and of the token were
-    left out as soon as any key had a wrong type.
+    This happens if the checks of addresses and of the token are skipped as soon as
+    any key has a wrong type. Operators then correct one fault, start the daemon and
+    get the next one.
     """
     faults = parse_settings_toml(FAULTY_SETTINGS).unwrap_err()
     assert sorted(str(fault) for fault in faults) == [
-        "callers.address: expected an IP number and port, not 'localhost:8000'",
+        "callers.address: expected an IP address and port, not 'localhost:8000'",
         "callers.n_connections_max: expected an integer of at least 1, not 0",
         "metrics.interval: expected one of the keys interval_ms, "
         "prometheus_address, statsd_address",
         "operators.token: expected a token, as the address is not loopback",
         "peers.address: expected a string, not 8002",
-        "peers.seed_addresses[1]: expected an IP number and port, not 'nowhere'",
+        "peers.seed_addresses[1]: expected an IP address and port, not 'nowhere'",
         "platform: expected a value, this key is required",
         "vm.availability_zone: expected a value, this key is required",
         "vm.labels.app: expected a label name and value",
@@ -63,8 +64,8 @@
     ]
 
 
-def test_intent_lists_the_faults_of_keys_and_of_the_whole_at_once():
-    """An operator mends a timeout and only then hears of the missing service."""
+def test_intent_lists_the_faults_of_keys_and_of_the_document_at_once():
+    """Guards against reporting a missing service only after the timeout is fixed."""
     faults = parse_intent_toml(FAULTY_INTENT).unwrap_err()
     assert sorted(fault.where for fault in faults) == [
         "routes[0].path_prefix",
@@ -74,8 +75,8 @@
     ]
 
 
-def test_override_with_a_label_that_is_no_string_is_a_fault():
-    """A number as a label's value must not end the check with a traceback."""
+def test_label_override_that_is_not_a_string_is_a_fault():
+    """Guards against a traceback when a label's value is a number."""
     text = 'customer = "a"\n[[label_overrides]]\nworkload = "b"\nlabels = { c = 1 }\n'
     faults = parse_intent_toml(text).unwrap_err()
     assert [str(fault) for fault in faults] == [
--- a/tests/test_started_modules.py
+++ b/tests/test_started_modules.py
@@ -1,4 +1,4 @@
-"""What is told of a stand-in that does not come up."""
+"""Error reports for a stand-in process that does not start listening."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     return StartedModule("stand_ins.target", process, log)
 
 
-def test_stand_in_that_has_ended_is_not_waited_for(tmp_path):
-    """Guards against a demo that says only that it has not seen something."""
+def test_stand_in_that_has_ended_is_reported_without_waiting(tmp_path):
+    """Guards against a time-out that does not report why the process ended."""
     module = started(tmp_path, "raise SystemExit('no such port')")
     with pytest.raises(TimeoutError, match="status 1\nno such port"):
         module.wait_until_listening(f"127.0.0.1:{free_port()}", 60.0)
 
 
-def test_stand_in_that_runs_without_listening_is_told_apart(tmp_path):
+def test_stand_in_that_runs_without_listening_is_reported_as_such(tmp_path):
     module = started(tmp_path, "import time; time.sleep(60)")
     try:
         with pytest.raises(TimeoutError, match="it runs, and nothing listens"):
