--- a/packages/pepperstair-core/pepperstair_core/config/settings.py
+++ b/packages/pepperstair-core/pepperstair_core/config/settings.py
@@ -104,7 +104,7 @@
     advertised_address: Annotated[
         str,
         Option(
-            "Address advertised for fleet-wide reports; empty for `address`.",
+            "Address advertised for fleet-wide reports; empty for that of `address`.",
             text_format=_OPTIONAL_ADDRESS,
         ),
     ] = ""
@@ -125,7 +125,7 @@
     advertised_address: Annotated[
         str,
         Option(
-            "Address advertised to other daemons; empty for `address`.",
+            "Address advertised to other daemons; empty for that of `address`.",
             text_format=_OPTIONAL_ADDRESS,
         ),
     ] = ""
@@ -206,7 +206,11 @@
     ] = 0
     stop_notice_ms: Annotated[
         int,
-        Option("Time after SIGTERM in which calls are still accepted.", minimum=0),
+        Option(
+            "Time after SIGTERM before draining starts, in which calls are served as "
+            "usual.",
+            minimum=0,
+        ),
     ] = 0
     retry_budget_percent: Annotated[
         int, Option("Retries allowed per hundred calls.", minimum=0, maximum=100)
--- a/packages/pepperstair-core/pepperstair_core/errors.py
+++ b/packages/pepperstair-core/pepperstair_core/errors.py
@@ -161,7 +161,7 @@
 
 
 class PepperstairError(Exception):
-    """A failure, raised where no `Result` can be returned, as in a protocol."""
+    """A failure, raised where no `Result` can be returned, as in protocol code."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(failure.text)
--- a/packages/pepperstair-core/pepperstair_core/intent.py
+++ b/packages/pepperstair-core/pepperstair_core/intent.py
@@ -187,7 +187,7 @@
 
 
 def iter_intent_faults(intent: Intent) -> Iterator[Fault]:
-    """Yield the faults of a document that no single key shows.
+    """Yield every fault of a parsed document.
 
     A route whose service is missing has no destination for its requests. It is a
     fault of the document, so such a route never reaches a proxy.
--- a/packages/pepperstair-core/pepperstair_core/policies.py
+++ b/packages/pepperstair-core/pepperstair_core/policies.py
@@ -44,7 +44,7 @@
 
 
 def compile_policies(snapshots: Iterable[Snapshot]) -> PolicyTable:
-    """Compile the policies in force, in the order of the snapshots."""
+    """Compile the policies in force, in the order of snapshots and documents."""
     return PolicyTable(
         tuple(
             CompiledPolicy(
