--- a/packages/pepperstair-core/pepperstair_core/errors.py
+++ b/packages/pepperstair-core/pepperstair_core/errors.py
@@ -81,51 +81,34 @@
     ErrorKind.NOT_READY: Answer(503, _NO, True, "the daemon is not ready yet"),
     ErrorKind.NO_TARGET: Answer(503, _NO, True, "the service has no usable target"),
     ErrorKind.TARGET_UNREACHABLE: Answer(503, _NO, True, "the target is unreachable"),
-    ErrorKind.DRAINING: Answer(503, _NO, True, "the target or daemon is draining"),
-    ErrorKind.OVERLOADED: Answer(
-        503, _NO, True, "no slot is free in time for the request"
-    ),
+    ErrorKind.DRAINING: Answer(503, _NO, True, "the target or daemon is leaving"),
+    ErrorKind.OVERLOADED: Answer(503, _NO, True, "no slot in time for the request"),
     ErrorKind.TOO_MANY_CONNECTIONS: Answer(503, _NO, True, "too many connections"),
     ErrorKind.PEER_UNREACHABLE: Answer(503, _NO, True, "the daemon is unreachable"),
-    ErrorKind.DEADLINE_BEFORE_RUN: Answer(
-        504, _NO, False, "the deadline passed before the request ran"
-    ),
+    ErrorKind.DEADLINE_BEFORE_RUN: Answer(504, _NO, False, "too late to start it"),
     ErrorKind.TIMEOUT: Answer(504, _UNKNOWN, False, "no answer before the timeout"),
-    ErrorKind.TARGET_REFUSED: Answer(
-        503, _NO, True, "the target refused the request without running it"
-    ),
-    ErrorKind.TARGET_FAILED: Answer(
-        502, _UNKNOWN, False, "the target failed to answer the request"
-    ),
-    ErrorKind.TARGET_CRASHED: Answer(
-        502, _UNKNOWN, False, "the target process ended while running the request"
-    ),
+    ErrorKind.TARGET_REFUSED: Answer(503, _NO, True, "the target refused it unrun"),
+    ErrorKind.TARGET_FAILED: Answer(502, _UNKNOWN, False, "the target cut its answer"),
+    ErrorKind.TARGET_CRASHED: Answer(502, _UNKNOWN, False, "the target ended under it"),
     ErrorKind.QUARANTINED: Answer(
-        503, _NO, False, "similar requests have crashed their targets"
+        503, _NO, False, "requests like it have crashed their targets"
     ),
     ErrorKind.OUTCOME_UNKNOWN: Answer(502, _UNKNOWN, False, "the answer was lost"),
-    ErrorKind.CANCELLED: Answer(
-        499, _UNKNOWN, False, "the caller cancelled the request"
-    ),
+    ErrorKind.CANCELLED: Answer(499, _UNKNOWN, False, "the caller left"),
     ErrorKind.INVALID_INTENT: Answer(422, _NO, False, "the intent is not valid"),
-    ErrorKind.CONFLICT: Answer(
-        409, _NO, False, "the change conflicts with the configuration"
-    ),
+    ErrorKind.CONFLICT: Answer(409, _NO, False, "the configuration has moved on"),
     ErrorKind.UNAUTHORIZED: Answer(401, _NO, False, "a bearer token is required"),
-    ErrorKind.NOT_FOUND: Answer(404, _NO, False, "not found"),
+    ErrorKind.NOT_FOUND: Answer(404, _NO, False, "there is no such thing"),
     ErrorKind.PLATFORM_UNAVAILABLE: Answer(
         503, _NO, True, "the platform is unavailable, nothing was accepted"
     ),
     ErrorKind.CHANGE_OUTCOME_UNKNOWN: Answer(
-        504, _UNKNOWN, True, "outcome unknown, repeat the request with this change id"
+        504, _UNKNOWN, True, "outcome unknown, ask again with this change id"
     ),
     ErrorKind.WATCH_EXPIRED: Answer(
-        410,
-        _NO,
-        False,
-        "the requested history is no longer kept, read the current state",
+        410, _NO, False, "the history that was asked for is gone, read anew"
     ),
-    ErrorKind.BUSY: Answer(429, _NO, True, "too many requests at once"),
+    ErrorKind.BUSY: Answer(429, _NO, True, "too much is asked at once"),
     ErrorKind.INTERNAL: Answer(500, _UNKNOWN, False, "an unexpected error"),
 }
 
