--- a/packages/pepperstair-callers/pepperstair_callers/context.py
+++ b/packages/pepperstair-callers/pepperstair_callers/context.py
@@ -31,15 +31,15 @@
 
 log = structlog.get_logger(__name__)
 
-CallCarrier = Callable[[Endpoint, CallHead, BodyBuffer], Awaitable[StreamedResponse]]
+AttemptSender = Callable[[Endpoint, CallHead, BodyBuffer], Awaitable[StreamedResponse]]
 
 
 class ProxyContext(Struct, frozen=True):
     """The state and the functions that the proxy shares with the daemon.
 
-    `carry` runs one attempt, on a local target or through the daemon next to the
+    `send_attempt` runs one attempt, on a local target or through the daemon next to the
     target. `budget_of` returns the retry budget of a service. `now_ms` is a monotonic
-    clock. `is_joining` is true shortly after the start of the daemon, while it is
+    clock. `is_starting` is true shortly after the start of the daemon, while it is
     still receiving its configuration and targets. `service` is the service of the
     target on this VM, empty where it is not sent to targets. `time_to_stop_ms` is the
     time that a stopping daemon leaves for its calls, infinite if it is not stopping.
@@ -50,9 +50,9 @@
     endpoints: Callable[[CompiledRoute], tuple[Endpoint, ...]]
     chooser: TargetChooser
     load_of: Callable[[Endpoint], Load | None]
-    carry: CallCarrier
+    send_attempt: AttemptSender
     is_ready: Callable[[], bool]
-    is_joining: Callable[[], bool]
+    is_starting: Callable[[], bool]
     is_draining: Callable[[], bool]
     on_outcome: Callable[[CallOutcome], None]
     decisions: DecisionLog
@@ -70,4 +70,4 @@
     time_to_stop_ms: Callable[[], float] = lambda: math.inf
 
 
-__all__ = ["CallCarrier", "ProxyContext"]
+__all__ = ["AttemptSender", "ProxyContext"]
--- a/packages/pepperstair-callers/pepperstair_callers/proxy.py
+++ b/packages/pepperstair-callers/pepperstair_callers/proxy.py
@@ -8,9 +8,15 @@
 import structlog
 
 from pepperstair_core.calls import CallOutcome, GiveUpCause, is_sampled
-from pepperstair_core.errors import ANSWERS, ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import (
+    ANSWERS,
+    ErrorKind,
+    Failure,
+    PepperstairError,
+    RunStatus,
+)
 from pepperstair_core.events import Event
-from pepperstair_core.routing import pick_part
+from pepperstair_core.routing import pick_destination
 from pepperstair_http import ConnectionLostError, Exchange, Request, StreamedResponse
 
 from .attempts import ProxiedCall, count_call_ids
@@ -23,7 +29,7 @@
 
 # How long a request waits for a daemon that has just started. Targets announce
 # themselves every 1.5 s; half of them are known after half a second.
-JOIN_WAIT_MAX_MS: Final = 500.0
+STARTUP_WAIT_MAX_MS: Final = 500.0
 # Maximum share of the caller's timeout spent on that wait. After a longer wait, the
 # request would miss its deadline.
 STARTUP_WAIT_SHARE: Final = 0.25
@@ -58,7 +64,7 @@
         status, error = ANSWERS[ErrorKind.CANCELLED].status, ErrorKind.CANCELLED
         try:
             try:
-                if self._context.is_joining():
+                if self._context.is_starting():
                     await self._wait_for_startup(exchange.request)
                 call = self._create_call(exchange, start_ms)
                 response = await self._send(call)
@@ -66,10 +72,10 @@
                 failure = failed.failure
                 status, error = failure.answer.status, failure.kind
                 if call is not None:
-                    call.run = failure.has_run
+                    call.run = failure.run_status
                 await answer_failure(exchange, failure, self._context.header_names)
                 return
-            call.run = Run.YES
+            call.run = RunStatus.YES
             is_whole = await self._relay_answer(exchange, call, response)
             status = response.status
             error = None if is_whole else ErrorKind.TARGET_FAILED
@@ -93,7 +99,7 @@
             return True
         return self._read_head(request.headers).is_idempotent
 
-    def end_all(self) -> None:
+    def fail_pending(self) -> None:
         """Answer every request that still waits for its target with a failure.
 
         A daemon that must exit can't wait for the slowest target. If it closed the
@@ -111,7 +117,7 @@
                 self._scopes.add(scope)
                 return await call.send()
         except TimeoutError as error:
-            kind = ErrorKind.DRAINING if call.run is Run.NO else ErrorKind.TIMEOUT
+            kind = ErrorKind.DRAINING if call.run is RunStatus.NO else ErrorKind.TIMEOUT
             failure = Failure(kind, "this daemon is stopping", run=call.run)
             raise PepperstairError(failure) from error
         finally:
@@ -126,7 +132,7 @@
         all daemons, every caller would.
         """
         timeout_ms = self._read_head(request.headers).timeout_ms
-        wait_max_ms = JOIN_WAIT_MAX_MS
+        wait_max_ms = STARTUP_WAIT_MAX_MS
         if timeout_ms:
             wait_max_ms = min(wait_max_ms, timeout_ms * STARTUP_WAIT_SHARE)
         end_ms = self._context.now_ms() + wait_max_ms
@@ -146,8 +152,8 @@
         compiled = context.route_table().match(request.host, request.path)
         if compiled is None:
             return True
-        parts = [part for _, part in compiled.parts] or [compiled]
-        return all(context.endpoints(part) for part in parts)
+        destinations = [part for _, part in compiled.destinations] or [compiled]
+        return all(context.endpoints(part) for part in destinations)
 
     def _create_call(self, exchange: Exchange, arrived_ms: float) -> ProxiedCall:
         """Return the call for a request, or raise if the request is refused."""
@@ -164,8 +170,8 @@
         compiled = context.route_table().match(request.host, request.path)
         if compiled is None:
             raise PepperstairError(Failure(ErrorKind.NO_ROUTE, request.path))
-        compiled = pick_part(compiled, context.rng)
-        if context.chooser.usual_ms(compiled.route.name) > context.time_to_stop_ms():
+        compiled = pick_destination(compiled, context.rng)
+        if context.chooser.typical_ms(compiled.route.name) > context.time_to_stop_ms():
             raise PepperstairError(Failure(ErrorKind.DRAINING, context.vm))
         head = self._read_head(request.headers)
         body_max_bytes = context.body_max_bytes()
@@ -221,7 +227,7 @@
             priority=call.compiled.route.priority if call is not None else "",
             status=status,
             error=error,
-            run=call.run if call is not None else Run.NO,
+            run=call.run if call is not None else RunStatus.NO,
             duration_ms=self._context.now_ms() - start_ms,
             n_retries=n_retries,
         )
--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Final
 
-from .call_ends import CallEnd, Ejection, EndKind, ZoneExit
+from .call_ends import CallEnd, CrossZoneCause, Ejection, EndKind
 from .expected_wait import Load, LoadOf, WaitOf, make_wait_of
 from .route_latencies import RouteLatencies
 from .target_group import Candidates, TargetGroup, TargetKey
@@ -51,7 +51,7 @@
 
     Times are in milliseconds of one monotonic clock; `rng` makes every choice
     reproducible. For `joining_ms` after the first choice, newly discovered targets
-    are treated as warm. `n_left_zone` counts the calls that were sent to other zones,
+    are treated as warm. `n_cross_zone` counts the calls that were sent to other zones,
     by the reason why no target of their own zone was used.
     """
 
@@ -60,7 +60,7 @@
     ) -> None:
         self._joining_ms = joining_ms
         self._joined_ms: float | None = None
-        self.n_left_zone = dict.fromkeys(ZoneExit, 0)
+        self.n_cross_zone = dict.fromkeys(CrossZoneCause, 0)
         self._availability_zone = availability_zone
         self._rng = rng
         self._health: dict[TargetKey, TargetHealth] = {}
@@ -80,7 +80,7 @@
         route: str = "",
         n_answer_bytes: float = 0.0,
         objective_ms: float = 0.0,
-        is_room_wanted: bool = False,
+        is_free_slot_required: bool = False,
     ) -> Endpoint | None:
         """Return the endpoint for one call, or None if there is none.
 
@@ -89,7 +89,7 @@
         the target takes. With an `objective_ms` the wait for a slot is short, so that
         a long time since the start is also a sign of a slow target. `n_answer_bytes`
         is the expected size of the answer, which counts if it crosses zones. With
-        `is_room_wanted` only a target with a free slot is returned.
+        `is_free_slot_required` only a target with a free slot is returned.
         """
         group = self._group(endpoints, now_ms)
         if not any(item.key not in excluded for item in endpoints):
@@ -103,7 +103,7 @@
             )
             is_quick = self._make_is_quick(route, objective_ms, now_ms)
             chosen = self._pick(group, candidates, wait_of, is_quick, n_answer_bytes)
-            if is_room_wanted and wait_of(chosen) > ROOM_WAIT:
+            if is_free_slot_required and wait_of(chosen) > ROOM_WAIT:
                 return None
         self._health[chosen.key].begin(
             now_ms, self._age_weight(route, is_urgent, objective_ms > 0)
@@ -130,15 +130,15 @@
         scale = self._latencies.scale(route)
         return scale if is_urgent else scale * QUEUED_AGE_WEIGHT
 
-    def usual_ms(self, route: str) -> float:
+    def typical_ms(self, route: str) -> float:
         """Return the typical latency of a route's calls, 0 if none has been seen."""
-        return self._latencies.usual_ms(route)
+        return self._latencies.typical_ms(route)
 
-    def forgive(self, vm: str) -> None:
+    def clear_ejection(self, vm: str) -> None:
         """End the ejection of all targets on a VM."""
         for (known_vm, _), health in self._health.items():
             if known_vm == vm:
-                health.forgive()
+                health.clear_ejection()
 
     def record_answer(self, endpoint: Endpoint, start_ms: float) -> None:
         """Record the answer head of the call whose target was chosen at `start_ms`."""
@@ -289,7 +289,9 @@
         near, far = candidates
         if not near:
             is_there = bool(group.near)
-            self.n_left_zone[ZoneExit.LEFT_OUT if is_there else ZoneExit.NO_TARGET] += 1
+            self.n_cross_zone[
+                CrossZoneCause.EXCLUDED if is_there else CrossZoneCause.NO_TARGET
+            ] += 1
             return self._better_of_two(far, wait_of)
         if not far:
             return self._better_of_two(near, wait_of)
@@ -309,7 +311,7 @@
                 return best
         if far_wait + margin + ZONE_MARGIN >= near_wait:
             return best
-        self.n_left_zone[ZoneExit.FULL if is_full else ZoneExit.SLOW] += 1
+        self.n_cross_zone[CrossZoneCause.FULL if is_full else CrossZoneCause.SLOW] += 1
         return other
 
     def _better_of_two(
@@ -393,5 +395,5 @@
     "LoadOf",
     "TargetChooser",
     "TargetKey",
-    "ZoneExit",
+    "CrossZoneCause",
 ]
--- a/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
@@ -27,7 +27,7 @@
         self._typical_overall_ms = 0.0
         self._failure_rates: dict[str, float] = {}
 
-    def usual_ms(self, route: str) -> float:
+    def typical_ms(self, route: str) -> float:
         """Return the typical latency of a route's answers, 0 if none has been seen."""
         return self._typical_ms.get(route, 0.0)
 
@@ -37,8 +37,8 @@
         Without it, a target that has just served a large archive would seem slower than
         one that served a short look-up.
         """
-        usual_ms = self._typical_ms.get(route)
-        return 1.0 if usual_ms is None else self._typical_overall_ms / usual_ms
+        typical_ms = self._typical_ms.get(route)
+        return 1.0 if typical_ms is None else self._typical_overall_ms / typical_ms
 
     def record_latency(self, route: str, latency_ms: float) -> None:
         """Update the typical latency with that of a good answer."""
@@ -46,8 +46,10 @@
             return
         if len(self._typical_ms) >= N_ROUTES_MAX and route not in self._typical_ms:
             self._typical_ms.clear()
-        usual_ms = self._typical_ms.get(route, latency_ms)
-        self._typical_ms[route] = usual_ms + TYPICAL_WEIGHT * (latency_ms - usual_ms)
+        typical_ms = self._typical_ms.get(route, latency_ms)
+        self._typical_ms[route] = typical_ms + TYPICAL_WEIGHT * (
+            latency_ms - typical_ms
+        )
         overall_ms = self._typical_overall_ms or latency_ms
         change_ms = latency_ms - overall_ms
         self._typical_overall_ms = overall_ms + TYPICAL_WEIGHT * change_ms
--- a/packages/pepperstair-core/pepperstair_core/calls/target_health.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_health.py
@@ -158,7 +158,7 @@
         self.n_errors += 1
         self._n_successes = 0
 
-    def forgive(self) -> None:
+    def clear_ejection(self) -> None:
         """End an ejection because the target's VM is reachable again."""
         self.is_ejected = False
         self.is_probed = False
--- a/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
@@ -19,7 +19,7 @@
 _N_RETURN_PATHS_MAX = 512
 
 
-class Collection(Struct):
+class AcknowledgementCollection(Struct):
     """Acknowledgements of one version that the collecting daemon has received."""
 
     customer: str
@@ -47,7 +47,7 @@
 class ConvergenceState(Struct):
     """Collections of this daemon and the return paths to other collectors."""
 
-    collections: dict[str, Collection] = field(default_factory=dict)
+    collections: dict[str, AcknowledgementCollection] = field(default_factory=dict)
     return_paths: dict[tuple[str, str], ReturnPath] = field(default_factory=dict)
     inquiry_numbers: dict[tuple[str, str], int] = field(default_factory=dict)
 
@@ -59,7 +59,7 @@
     version: int,
     now_ms: int,
     first_inquiry_ms: int,
-) -> Collection:
+) -> AcknowledgementCollection:
     """Start to collect acknowledgements of a version or any newer one.
 
     An existing collection of a newer version that is held here also covers this one.
@@ -68,14 +68,18 @@
     held_version = state.customer(customer).held_version
     if known is not None and version <= known.version <= held_version:
         return known
-    collection = Collection(customer, version, now_ms, now_ms + first_inquiry_ms)
+    collection = AcknowledgementCollection(
+        customer, version, now_ms, now_ms + first_inquiry_ms
+    )
     convergence.collections[customer] = collection
     if state.customer(customer).in_force_version >= version:
         collection.vms.add(state.fleet.own_vm)
     return collection
 
 
-def missing_vms(collection: Collection, state: DistributionState) -> Iterator[str]:
+def missing_vms(
+    collection: AcknowledgementCollection, state: DistributionState
+) -> Iterator[str]:
     """Yield the live members that have not acknowledged the version."""
     return (vm for vm in state.fleet.live() if vm not in collection.vms)
 
@@ -166,7 +170,7 @@
 
 
 def _check_converged(
-    collection: Collection, state: DistributionState, now_ms: int
+    collection: AcknowledgementCollection, state: DistributionState, now_ms: int
 ) -> Actions:
     if collection.convergence_ms is not None:
         return
@@ -181,7 +185,9 @@
     )
 
 
-def _inquire(collection: Collection, state: DistributionState, now_ms: int) -> Actions:
+def _inquire(
+    collection: AcknowledgementCollection, state: DistributionState, now_ms: int
+) -> Actions:
     """Send an inquiry to the whole fleet, with exponential backoff and jitter.
 
     The backoff applies while a member remains missing.
@@ -196,7 +202,7 @@
 
 
 __all__ = [
-    "Collection",
+    "AcknowledgementCollection",
     "ConvergenceState",
     "ReturnPath",
     "collect",
--- a/packages/pepperstair-core/pepperstair_core/distribution/outbox.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/outbox.py
@@ -46,7 +46,7 @@
         """Discard the queue of a neighbour whose stream was closed."""
         self._queues.pop(vm, None)
 
-    def waiting(self) -> Iterator[str]:
+    def pending_vms(self) -> Iterator[str]:
         """Yield the neighbours that have queued frames."""
         for vm, queue in self._queues.items():
             if queue:
--- a/packages/pepperstair-core/pepperstair_core/distribution/polling.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/polling.py
@@ -15,7 +15,7 @@
 from ..rendezvous import highest
 from ..versions import Head
 from ..wire import PollerSign
-from .actions import Actions, ReadBells, ReadHeads, Send
+from .actions import Actions, ReadBucketTokens, ReadHeads, Send
 from .pulling import schedule_pull
 from .state import DistributionState
 
@@ -56,7 +56,7 @@
     if state.fleet.own_vm in pollers(state):
         if now_ms >= polling.poll_due_ms:
             polling.poll_due_ms = now_ms + _READ_TIMEOUT_MS
-            yield ReadBells()
+            yield ReadBucketTokens()
         return
     polling.tokens.clear()
     if polling.fallback_read_due_ms == 0:
--- a/packages/pepperstair-core/pepperstair_core/following.py
+++ b/packages/pepperstair-core/pepperstair_core/following.py
@@ -38,8 +38,8 @@
 DocumentReader = Callable[[bytes], Result[FollowedDocument, list[Fault]]]
 
 
-class Offer(Enum):
-    """The result of `Following.offer`."""
+class OfferResult(Enum):
+    """The result of `FollowedDocumentState.offer`."""
 
     IN_FORCE = auto()
     OLDER = auto()
@@ -47,7 +47,7 @@
     REJECTED_BEFORE = auto()
 
 
-class Following:
+class FollowedDocumentState:
     """The document in force, whose version only increases, and the last rejected one.
 
     A proxy that returned to an older version would send requests to services that the
@@ -66,28 +66,28 @@
         """Return the version in force, 0 if none."""
         return 0 if self.document is None else self.document.version
 
-    def offer(self, data: bytes) -> Offer:
+    def offer(self, data: bytes) -> OfferResult:
         """Put a document in force if it is valid and newer; return the result."""
         if self.document is not None and data == self.document.data:
-            return Offer.OLDER
+            return OfferResult.OLDER
         if data == self._rejected:
-            return Offer.REJECTED_BEFORE
+            return OfferResult.REJECTED_BEFORE
         read = self._read(data)
         if read.is_err():
             self._rejected = data
             self.faults = read.unwrap_err()
-            return Offer.REJECTED
+            return OfferResult.REJECTED
         document = read.unwrap()
         if document.version <= self.version:
-            return Offer.OLDER
+            return OfferResult.OLDER
         self.document = document
-        return Offer.IN_FORCE
+        return OfferResult.IN_FORCE
 
 
 __all__ = [
     "CallerLimits",
     "DocumentReader",
     "FollowedDocument",
-    "Following",
-    "Offer",
+    "FollowedDocumentState",
+    "OfferResult",
 ]
--- a/packages/pepperstair-core/pepperstair_core/membership/edges.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/edges.py
@@ -71,9 +71,9 @@
         """Record that a stream was opened."""
         self._connected.add(vm)
         self._unwanted_since_ms.pop(vm, None)
-        self.settle(address)
+        self.mark_reached(address)
 
-    def settle(self, address: str) -> None:
+    def mark_reached(self, address: str) -> None:
         """Record a successful dial of an address."""
         self._dialling.discard(address)
         self._backoff.succeed(address)
--- a/packages/pepperstair-core/pepperstair_core/membership/membership.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/membership.py
@@ -134,9 +134,9 @@
             if member is not None and member.peer_address == address:
                 yield from self._declare_state(vm, MemberState.SUSPECT, now_ms)
 
-    def settle(self, address: str) -> None:
+    def mark_reached(self, address: str) -> None:
         """Handle a successful dial whose stream is a duplicate and not used."""
-        self._edges.settle(address)
+        self._edges.mark_reached(address)
 
     def receive(self, vm: str, frame: Any, now_ms: int) -> Iterator[Action]:
         """Handle a frame; kinds of other components only show that the VM is alive."""
--- a/packages/pepperstair-core/pepperstair_core/routing.py
+++ b/packages/pepperstair-core/pepperstair_core/routing.py
@@ -27,7 +27,7 @@
 class CompiledRoute(Struct, frozen=True):
     """A route of this proxy with its service and the version that defines it.
 
-    For a route with splits, `parts` holds one compiled route per split with its
+    For a route with splits, `destinations` holds one compiled route per split with its
     weight, and `service` is the service of the first split.
     """
 
@@ -36,24 +36,24 @@
     route: Route
     service: Service
     target_selector: Selector
-    parts: tuple[tuple[int, CompiledRoute], ...] = ()
+    destinations: tuple[tuple[int, CompiledRoute], ...] = ()
 
 
-def pick_part(compiled: CompiledRoute, rng: Random) -> CompiledRoute:
+def pick_destination(compiled: CompiledRoute, rng: Random) -> CompiledRoute:
     """Return the destination for one request, drawn at random by the split weights.
 
     Only the weights decide. A destination without capacity refuses its requests
     rather than passing them to another split: an operator who tries a new version on
     a tenth of the traffic must never see the remaining traffic go to it.
     """
-    if not compiled.parts:
+    if not compiled.destinations:
         return compiled
-    remaining = rng.random() * sum(weight for weight, _ in compiled.parts)
-    for weight, destination in compiled.parts:
+    remaining = rng.random() * sum(weight for weight, _ in compiled.destinations)
+    for weight, destination in compiled.destinations:
         remaining -= weight
         if remaining < 0:
             return destination
-    return compiled.parts[-1][1]
+    return compiled.destinations[-1][1]
 
 
 class RouteTable:
@@ -277,7 +277,7 @@
             labels.pop(key, None)
 
 
-def overrides_of(snapshots: Iterable[Snapshot]) -> dict[str, Labels]:
+def label_overrides_by_workload(snapshots: Iterable[Snapshot]) -> dict[str, Labels]:
     """Return the label overrides in force, by workload.
 
     If several customers override the same workload, the last customer by name wins.
@@ -322,7 +322,9 @@
         for name in route.services
     ]
     weights = [split.weight for split in route.splits]
-    return replace(by_service[0], parts=tuple(zip(weights, by_service, strict=False)))
+    return replace(
+        by_service[0], destinations=tuple(zip(weights, by_service, strict=False))
+    )
 
 
 def _endpoint_order(endpoint: Endpoint) -> tuple[str, str]:
@@ -342,6 +344,6 @@
     "compile_routes",
     "effective_labels",
     "iter_endpoints",
-    "overrides_of",
-    "pick_part",
+    "label_overrides_by_workload",
+    "pick_destination",
 ]
--- a/packages/pepperstair-core/pepperstair_core/shared_reading.py
+++ b/packages/pepperstair-core/pepperstair_core/shared_reading.py
@@ -105,7 +105,7 @@
         self.confirmed_ms = max(self.confirmed_ms, as_of_ms)
         return newer_ms > FORWARD_SHARE * self.max_age_ms
 
-    def fail(self, now_ms: float) -> None:
+    def record_read_failure(self, now_ms: float) -> None:
         """Record that a read of this daemon has failed."""
         self._read_failed_ms = now_ms
 
@@ -147,7 +147,7 @@
         return int(STANDBY_WATCH_MS * self._rng.uniform(0.6, 1.0))
 
 
-def place_among_readers(own: Member, members: Iterable[Member], key: str) -> int:
+def reader_rank(own: Member, members: Iterable[Member], key: str) -> int:
     """Return how many live members are ranked before this one as readers.
 
     Members with the fastest links come first: on a slow link the transfer of the
@@ -179,4 +179,4 @@
     return weight(key, name)
 
 
-__all__ = ["N_WATCHERS", "ReadSchedule", "place_among_readers"]
+__all__ = ["N_WATCHERS", "ReadSchedule", "reader_rank"]
--- a/packages/pepperstair-core/pepperstair_core/wire/packing.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/compression.py
@@ -12,19 +12,19 @@
 
 # The fastest level: slower levels bring no gain on such documents.
 _LEVEL: Final = 1
-UNPACKED_MAX_BYTES: Final = 16 * 1024 * 1024
+DECOMPRESSED_MAX_BYTES: Final = 16 * 1024 * 1024
 
 
-def pack(data: bytes) -> bytes:
+def compress(data: bytes) -> bytes:
     """Return the data compressed with zlib.
 
-    >>> unpack(pack(b"routes")) == b"routes"
+    >>> decompress(compress(b"routes")) == b"routes"
     True
     """
     return zlib.compress(data, _LEVEL)
 
 
-def unpack(packed: bytes) -> bytes | None:
+def decompress(compressed: bytes) -> bytes | None:
     """Return the decompressed data, or None if it is damaged or too large.
 
     The limit is above the size of anything that is sent. Without it, a few bytes
@@ -32,10 +32,10 @@
     """
     decompressor = zlib.decompressobj()
     try:
-        data = decompressor.decompress(packed, UNPACKED_MAX_BYTES)
+        data = decompressor.decompress(compressed, DECOMPRESSED_MAX_BYTES)
     except zlib.error:
         return None
     return data if decompressor.eof else None
 
 
-__all__ = ["UNPACKED_MAX_BYTES", "pack", "unpack"]
+__all__ = ["DECOMPRESSED_MAX_BYTES", "compress", "decompress"]
--- a/packages/pepperstair-core/pepperstair_core/wire/control.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/control.py
@@ -212,7 +212,7 @@
     newest, -1 if unknown.
     """
 
-    packed: bytes
+    compressed: bytes
     position: int
     age_ms: int = -1
 
@@ -235,7 +235,7 @@
     """
 
     base_version: int
-    packed: bytes
+    compressed: bytes
     position: int
     age_ms: int = -1
 
--- a/packages/pepperstair-peers/pepperstair_peers/control/plane.py
+++ b/packages/pepperstair-peers/pepperstair_peers/control/plane.py
@@ -169,7 +169,7 @@
         self._execute(self._membership.resume(self._clock_ms()))
         return True
 
-    def take_stream(self, stream: FrameStream, hello: Hello) -> None:
+    def serve_stream(self, stream: FrameStream, hello: Hello) -> None:
         """Start using a control stream that another daemon opened."""
         now_ms = self._clock_ms()
         link = ControlLink(stream, hello.vm, hello.start_id, False, now_ms)
@@ -233,7 +233,7 @@
     def _add_link(self, link: ControlLink, address: str) -> None:
         """Start using a stream, or close it if the current one is preferred."""
         if not self._links.is_preferred(link):
-            self._membership.settle(address)
+            self._membership.mark_reached(address)
             link.stream.close()
             return
         vm = link.vm
--- a/packages/pepperstair-peers/pepperstair_peers/data/link.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/link.py
@@ -9,7 +9,7 @@
 import structlog
 
 from pepperstair_core.calls import Load
-from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, RunStatus
 from pepperstair_core.wire import (
     AnswerHead,
     CallFailed,
@@ -249,7 +249,7 @@
         The peer has answered a query that it never received the call. From then on it
         refuses the call on any earlier stream, so the call cannot run twice.
         """
-        if not isinstance(frame, CallFailed) or frame.run is not Run.NO:
+        if not isinstance(frame, CallFailed) or frame.run is not RunStatus.NO:
             return False
         is_undelivered = frame.kind is ErrorKind.PEER_UNREACHABLE
         if not is_undelivered or not call.is_resendable:
@@ -324,7 +324,9 @@
 
 def _unreachable_error(detail: str) -> PepperstairError:
     """Return the error for a call whose head was never written."""
-    return PepperstairError(Failure(ErrorKind.PEER_UNREACHABLE, detail, run=Run.NO))
+    return PepperstairError(
+        Failure(ErrorKind.PEER_UNREACHABLE, detail, run=RunStatus.NO)
+    )
 
 
 __all__ = ["N_SILENT_HEARTBEATS", "PeerLink"]
--- a/packages/pepperstair-platform/pepperstair_platform/acceptance.py
+++ b/packages/pepperstair-platform/pepperstair_platform/acceptance.py
@@ -90,7 +90,7 @@
     change = found.unwrap()
     committed = head_from_change(change)
     if committed is not None:
-        return repeat_change(committed, request)
+        return result_of_repeated_change(committed, request)
     read = await _read_row(platform, head_key(customer), customer)
     if read.is_err():
         return Err(_failure_before_commit(request, read.unwrap_err()))
@@ -157,7 +157,7 @@
         return Err(failure)
     committed = head_from_change(found.unwrap())
     if committed is not None:
-        return repeat_change(committed, attempt.request, is_repeat=False)
+        return result_of_repeated_change(committed, attempt.request, is_repeat=False)
     if _value_of(found.unwrap()) == fence.value:
         return Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE, failure.detail))
     return Err(failure)
@@ -173,7 +173,7 @@
         return Err(Failure(ErrorKind.CHANGE_OUTCOME_UNKNOWN, detail))
     committed = head_from_change(found.unwrap())
     if committed is not None:
-        return repeat_change(committed, attempt.request)
+        return result_of_repeated_change(committed, attempt.request)
     read = await _read_row(
         attempt.platform, head_key(attempt.customer), attempt.customer
     )
@@ -181,7 +181,7 @@
     return Err(_conflict_failure(head_from_row(row).version if row else None))
 
 
-def repeat_change(
+def result_of_repeated_change(
     head: Head, request: ChangeRequest, *, is_repeat: bool = True
 ) -> Result[Accepted, Failure]:
     """Return the result of a change that was committed earlier as `head`.
@@ -225,4 +225,4 @@
     return Failure(ErrorKind.CONFLICT, f"start from {newest}")
 
 
-__all__ = ["Accepted", "ChangeRequest", "accept_change", "repeat_change"]
+__all__ = ["Accepted", "ChangeRequest", "accept_change", "result_of_repeated_change"]
--- a/packages/pepperstair-platform/pepperstair_platform/rows.py
+++ b/packages/pepperstair-platform/pepperstair_platform/rows.py
@@ -41,14 +41,14 @@
     return f"bell/{bucket_of(customer):02d}"
 
 
-def bells_prefix() -> str:
+def bucket_tokens_prefix() -> str:
     """Return the key prefix of all bucket markers."""
     return "bell/"
 
 
-def bucket_of_bell(row: Row) -> int:
+def bucket_of_token_key(row: Row) -> int:
     """Return the bucket of a bucket marker's row."""
-    return int(row.key.removeprefix(bells_prefix()))
+    return int(row.key.removeprefix(bucket_tokens_prefix()))
 
 
 def change_key(change_id: str) -> str:
@@ -95,9 +95,9 @@
     "N_BUCKETS",
     "abandoned_row",
     "bucket_marker_key",
-    "bells_prefix",
+    "bucket_tokens_prefix",
     "bucket_of",
-    "bucket_of_bell",
+    "bucket_of_token_key",
     "change_key",
     "change_row",
     "head_from_change",
--- a/packages/pepperstair-targets/pepperstair_targets/__init__.py
+++ b/packages/pepperstair-targets/pepperstair_targets/__init__.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .announcements import handle_announcement
-from .ordered import (
+from .ordered_announcements import (
     ANNOUNCEMENT_DELAY_MAX_MS,
     LAST_SEQUENCE,
     Announcement,
--- a/packages/pepperstair-targets/pepperstair_targets/ordered.py
+++ b/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
@@ -44,7 +44,7 @@
 
 
 class Departure(Struct, frozen=True):
-    """The departure of a target, recorded at `noted_ms` in Unix milliseconds.
+    """The departure of a target, recorded at `recorded_ms` in Unix milliseconds.
 
     Announcements of the target up to this start and sequence are ignored.
     """
@@ -52,7 +52,7 @@
     name: str
     start_ms: int
     sequence: int
-    noted_ms: int
+    recorded_ms: int
 
     @property
     def order_key(self) -> tuple[int, int]:
@@ -88,7 +88,7 @@
         self._newest_seen_ms = 0
         self._departures: dict[str, Departure] = {}
 
-    def take(self, announcement: Announcement) -> bool:
+    def accept(self, announcement: Announcement) -> bool:
         """Apply an announcement unless outdated; return whether it was applied."""
         target = announcement.target
         if not self._is_newer(announcement):
@@ -101,7 +101,7 @@
             return False
         newest = self._newest
         if newest is not None and newest.target.name != target.name:
-            self._registry.leave(newest.target.name)
+            self._registry.deregister(newest.target.name)
         self._newest = announcement
         self._newest_seen_ms = self._now_ms()
         if target.state is TargetState.DRAINING:
@@ -109,7 +109,7 @@
         self._registry.announce(target, self._newest_seen_ms)
         return True
 
-    def leave(self, name: str) -> bool:
+    def deregister(self, name: str) -> bool:
         """Deregister a target and return whether it was registered.
 
         The deregistration of an earlier target has no effect on the current one. It is
@@ -121,7 +121,7 @@
         is_newest = newest is not None and newest.target.name == name
         start_ms = newest.start_ms if is_newest else self._wall_ms()
         self._record_departure(name, start_ms, LAST_SEQUENCE)
-        return is_newest and self._registry.leave(name)
+        return is_newest and self._registry.deregister(name)
 
     def departures(self) -> tuple[Departure, ...]:
         """Return the departures, the most recent one last."""
@@ -162,7 +162,7 @@
         departure = self._departures.get(announcement.target.name)
         if departure is None or announcement.order_key > departure.order_key:
             return False
-        age_ms = self._wall_ms() - departure.noted_ms
+        age_ms = self._wall_ms() - departure.recorded_ms
         return bool(announcement.start_ms) or age_ms < ANNOUNCEMENT_DELAY_MAX_MS
 
     def _is_gone(self, newest: Announcement) -> bool:
--- a/packages/pepperstair-targets/pepperstair_targets/runner.py
+++ b/packages/pepperstair-targets/pepperstair_targets/runner.py
@@ -8,16 +8,16 @@
 import structlog
 from msgspec.structs import replace
 
-from pepperstair_core.calls import CrashRecord, Load, Quarantine, Refused, Standing
+from pepperstair_core.calls import CrashRecord, Load, Quarantine, Refused, TrustLevel
 from pepperstair_core.decisions import Decision, DecisionKind, DecisionLog
-from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, RunStatus
 from pepperstair_core.events import Event
 from pepperstair_core.intent import Policy
 from pepperstair_core.members import Target, TargetState
 from pepperstair_core.wire import CallHead
 from pepperstair_http import BodyBuffer, StreamedResponse
 
-from .crashes import CrashDetector
+from .crash_detection import CrashDetector
 from .pool import ConnectionPool
 from .registry import TargetRegistry
 from .slots import SlotQueue
@@ -171,7 +171,7 @@
         self._record_answer(head, response)
         return _with_wait_header(response, int(admitted_ms - start_ms))
 
-    def follow_registry(self) -> None:
+    def sync_with_registry(self) -> None:
         """Apply the changes of the target registry.
 
         Calls that wait for a draining target are refused at once as not run, so that
@@ -211,13 +211,13 @@
         self._refuse_quarantined(head, now_ms)
 
         def is_suspect(fingerprint: bytes) -> bool:
-            standing = self._quarantine.standing(fingerprint, now_ms)
-            return standing is not Standing.TRUSTED
+            trust_level = self._quarantine.trust_level(fingerprint, now_ms)
+            return trust_level is not TrustLevel.TRUSTED
 
         if is_suspect(head.fingerprint) and local.crashes.is_any_running(is_suspect):
             detail = f"{head.target}, another suspect request is running"
             failure = Failure(
-                ErrorKind.OVERLOADED, detail, _SUSPECT_RETRY_AFTER_MS, Run.NO
+                ErrorKind.OVERLOADED, detail, _SUSPECT_RETRY_AFTER_MS, RunStatus.NO
             )
             raise PepperstairError(failure)
 
@@ -243,7 +243,7 @@
         """
         self.n_crashes += 1
         self.on_crash(local.target.name, running)
-        self._registry.leave(local.target.name)
+        self._registry.deregister(local.target.name)
 
     def _record_answer(self, head: CallHead, response: StreamedResponse) -> None:
         if response.status >= _FAILED_STATUS or not response.body.is_whole:
@@ -335,7 +335,7 @@
         target=head.target,
         kind=failure.kind,
         cause=failure.detail,
-        run=failure.has_run,
+        run=failure.run_status,
         lasted_ms=round(lasted_ms, 1),
     )
 
@@ -364,7 +364,7 @@
 
 
 def _not_run(kind: ErrorKind, detail: str) -> PepperstairError:
-    return PepperstairError(Failure(kind, detail, run=Run.NO))
+    return PepperstairError(Failure(kind, detail, run=RunStatus.NO))
 
 
 __all__ = ["WAITED_HEADER", "LocalTarget", "PolicyOf", "TargetRunner"]
--- a/packages/pepperstair-targets/pepperstair_targets/slots.py
+++ b/packages/pepperstair-targets/pepperstair_targets/slots.py
@@ -19,7 +19,7 @@
     Verdict,
     WaitingCall,
 )
-from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, RunStatus
 from pepperstair_core.wire import CallHead
 
 log = structlog.get_logger(__name__)
@@ -164,7 +164,7 @@
     is_draining = verdict.cause is RefusalCause.DRAINING
     kind = ErrorKind.DRAINING if is_draining else ErrorKind.OVERLOADED
     detail = f"{target}, {verdict.cause.value}"
-    raise PepperstairError(Failure(kind, detail, verdict.retry_after_ms, Run.NO))
+    raise PepperstairError(Failure(kind, detail, verdict.retry_after_ms, RunStatus.NO))
 
 
 __all__ = ["SlotQueue"]
--- a/tests/distribution/fake_network.py
+++ b/tests/distribution/fake_network.py
@@ -141,9 +141,9 @@
         for action in node.distribution.handle(event, self.now_ms):
             node.actions.append(action)
             self._execute(vm, node, action)
-        if node.distribution.state.inbox and not isinstance(event, d.Work):
+        if node.distribution.state.inbox and not isinstance(event, d.ApplyNext):
             while node.distribution.state.inbox:
-                self.handle(vm, d.Work())
+                self.handle(vm, d.ApplyNext())
 
     def deliver(self, sender: str, receiver: str, frame: Any) -> None:
         """Deliver a frame to a daemon immediately."""
@@ -158,9 +158,11 @@
                 assert digest_of(snapshot.body) == head.digest
                 node.in_force[head.customer] = snapshot
                 node.history.setdefault(head.customer, []).append(head.version)
-            case d.ReadBells():
+            case d.ReadBucketTokens():
                 bucket_tokens = dict(self.bucket_tokens)
-                self._answer(vm, node, d.BellsRead(self._unless_out(bucket_tokens)))
+                self._answer(
+                    vm, node, d.BucketTokensRead(self._unless_out(bucket_tokens))
+                )
             case d.ReadHeads(bucket, number):
                 heads = tuple(
                     head
--- a/tests/naive/calls.py
+++ b/tests/naive/calls.py
@@ -25,7 +25,7 @@
         """Ignore the end of a call."""
 
 
-class EndlessQueue:
+class UnboundedQueue:
     """Queues every call in the order of arrival, without a limit."""
 
     def __init__(self, n_slots: int) -> None:
--- a/tests/test_call_decisions_against_naive.py
+++ b/tests/test_call_decisions_against_naive.py
@@ -16,7 +16,7 @@
     merge_calls,
     poisson_calls,
 )
-from tests.naive.calls import EndlessQueue, RandomChooser, retry_blindly
+from tests.naive.calls import RandomChooser, UnboundedQueue, retry_blindly
 
 SEEDS = range(4)
 UNTIL_MS = 5_000
@@ -57,7 +57,7 @@
     for seed in SEEDS:
         calls = mixed_load(seed, load, 2)
         actual = Simulation(ACTUAL, 2, Faults(), seed).run(calls)
-        naive = Simulation(Decisions(admission=EndlessQueue), 2, Faults(), seed)
+        naive = Simulation(Decisions(admission=UnboundedQueue), 2, Faults(), seed)
         naive_report = naive.run(calls)
         assert_invariants(actual, calls)
         n_urgent = sum(call.priority == "urgent" for call in calls)
@@ -70,7 +70,7 @@
     assert sums[0] <= sums[1]
 
 
-@pytest.mark.parametrize("admission", [EndlessQueue, ACTUAL.admission])
+@pytest.mark.parametrize("admission", [UnboundedQueue, ACTUAL.admission])
 def test_flood_of_one_customer_does_not_delay_small_customers(admission):
     """One customer sends ten times as many calls as all others together.
 
@@ -94,13 +94,13 @@
         without_flood = Simulation(decisions, 1, Faults(), seed).run(small)
         with_flood = Simulation(decisions, 1, Faults(), seed).run(flooded)
         added_p99_ms += p99(with_flood, "small") - p99(without_flood, "small")
-        if admission is not EndlessQueue:
+        if admission is not UnboundedQueue:
             n_small = sum(call.customer != "large" for call in flooded)
             n_good = sum(len(with_flood.latencies_ms[f"small-{i}"]) for i in (1, 2))
             assert n_good == n_small
             assert p99(with_flood, "small") <= 1.5 * p99(without_flood, "small")
     # The same load delays small customers in the naive queue, so the test is sensitive.
-    assert (added_p99_ms / len(SEEDS) > 500) is (admission is EndlessQueue)
+    assert (added_p99_ms / len(SEEDS) > 500) is (admission is UnboundedQueue)
 
 
 def p99(report: Report, prefix: str) -> float:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -78,7 +78,7 @@
     assert (sum(item.target.name == "t3" for item in late) >= 4) is is_warm
 
 
-def test_targets_learnt_one_by_one_after_a_restart_share_the_calls():
+def test_targets_discovered_one_by_one_after_a_restart_share_the_calls():
     """All daemons are killed and restart, and targets announce themselves again.
 
     If the later ones were treated as cold, they would be idle while the first one
--- a/tests/test_choice_of_better.py
+++ b/tests/test_choice_of_better.py
@@ -62,9 +62,9 @@
     full = lambda item: Load(12, 3)
     refused = {among[0].key}
     chooser = make_chooser()
-    assert chooser.choose(among, full, 0.0, refused, is_room_wanted=True) is None
+    assert chooser.choose(among, full, 0.0, refused, is_free_slot_required=True) is None
     free = lambda item: Load(11, 0)
-    chosen = chooser.choose(among, free, 0.0, refused, is_room_wanted=True)
+    chosen = chooser.choose(among, free, 0.0, refused, is_free_slot_required=True)
     assert chosen is among[1]
 
 
@@ -120,7 +120,7 @@
     assert chooser.end(among[0], among, end, 0.0) is not None
     assert share(chooser, among, "t1") == 0.0
     # Its daemon reconnects long before the ejection ends.
-    chooser.forgive("vm1")
+    chooser.clear_ejection("vm1")
     assert share(chooser, among, "t1") > 0.0
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -15,8 +15,8 @@
 from pepperstair_core.following import (
     CallerLimits,
     FollowedDocument,
-    Following,
-    Offer,
+    FollowedDocumentState,
+    OfferResult,
 )
 from pepperstair_core.intent import Intent
 from pepperstair_core.schema import Fault
@@ -27,11 +27,11 @@
     DocumentFresh,
     DocumentHave,
     DocumentPull,
+    compress,
+    decompress,
     encode_frame,
-    pack,
-    unpack,
 )
-from pepperstair_core.wire.packing import UNPACKED_MAX_BYTES
+from pepperstair_core.wire.compression import DECOMPRESSED_MAX_BYTES
 from pepperstair_platform import WatchedRow, WatchedRows
 from pepperstaird import document_exchange, follower
 from pepperstaird.clock import boot_ms
@@ -51,9 +51,13 @@
 
 def test_version_never_decreases():
     """Two answers of the store are reordered; the older version arrives last."""
-    following = Following(read)
+    following = FollowedDocumentState(read)
     offers = [following.offer(data) for data in (b"5", b"7", b"6", b"7", b"5")]
-    assert offers == [Offer.IN_FORCE, Offer.IN_FORCE, *[Offer.OLDER] * 3]
+    assert offers == [
+        OfferResult.IN_FORCE,
+        OfferResult.IN_FORCE,
+        *[OfferResult.OLDER] * 3,
+    ]
     assert following.version == 7
 
 
@@ -62,13 +66,13 @@
 
     Its faults are reported once; the routes in force stay.
     """
-    following = Following(read)
+    following = FollowedDocumentState(read)
     offers = [following.offer(data) for data in (b"5", b"bad", b"bad", b"6")]
     assert offers == [
-        Offer.IN_FORCE,
-        Offer.REJECTED,
-        Offer.REJECTED_BEFORE,
-        Offer.IN_FORCE,
+        OfferResult.IN_FORCE,
+        OfferResult.REJECTED,
+        OfferResult.REJECTED_BEFORE,
+        OfferResult.IN_FORCE,
     ]
 
 
@@ -200,7 +204,7 @@
     """
     refused = Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
     control = FakeControl("vm-2", "vm-3")
-    frames = [("vm-2", DocumentHave(5)), ("vm-2", DocumentCopy(pack(b"5"), 3))]
+    frames = [("vm-2", DocumentHave(5)), ("vm-2", DocumentCopy(compress(b"5"), 3))]
     following = run_follower(FakeTable(*[refused] * 9), control, frames)
     assert following.versions() == {"platform": 5}
     assert following.is_floor_known
@@ -215,7 +219,7 @@
     assert control.sent == [
         ("vm-2", DocumentHave(5)),
         ("vm-2", DocumentHave(5)),
-        ("vm-2", DocumentCopy(pack(b"5"), 3)),
+        ("vm-2", DocumentCopy(compress(b"5"), 3)),
     ]
 
 
@@ -230,15 +234,17 @@
     """A neighbour of another release sends something else instead of a copy."""
     control = FakeControl("vm-2")
     refused = Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
-    frames = [("vm-2", DocumentCopy(data, 3)) for data in (b"5", pack(b"5")[:-2], b"")]
+    frames = [
+        ("vm-2", DocumentCopy(data, 3)) for data in (b"5", compress(b"5")[:-2], b"")
+    ]
     following = run_follower(FakeTable(*[refused] * 9), control, frames)
     assert following.versions() == {}
 
 
 def test_copy_that_unpacks_beyond_the_size_limit_is_refused():
     """A few bytes that unpack to gigabytes would exhaust the VM's memory."""
-    assert unpack(pack(b"0" * UNPACKED_MAX_BYTES)) is not None
-    assert unpack(pack(b"0" * (UNPACKED_MAX_BYTES + 1))) is None
+    assert decompress(compress(b"0" * DECOMPRESSED_MAX_BYTES)) is not None
+    assert decompress(compress(b"0" * (DECOMPRESSED_MAX_BYTES + 1))) is None
 
 
 def test_copy_of_a_large_document_fits_one_frame():
@@ -250,7 +256,7 @@
     settings = parse_all_settings(filled()).unwrap().product
     frame_max_bytes = settings.peers.frame_max_bytes
     assert len(data) > frame_max_bytes
-    assert len(encode_frame(DocumentCopy(pack(data), 3))) < frame_max_bytes / 2
+    assert len(encode_frame(DocumentCopy(compress(data), 3))) < frame_max_bytes / 2
 
 
 def test_watch_continues_from_the_position_of_a_neighbours_copy(monkeypatch):
@@ -262,7 +268,7 @@
     """
     monkeypatch.setattr(follower, "_SETTLE_S", 0.03)
     table = FakeTable(rows(3, b"5"))
-    copy = DocumentCopy(pack(b"7"), 9)
+    copy = DocumentCopy(compress(b"7"), 9)
     following = run_follower(table, FakeControl(), [("vm-2", copy)], for_s=0.1)
     assert following.versions() == {"platform": 7}
     assert table.calls == [None, 9]
@@ -272,12 +278,12 @@
     """A neighbour that lags behind sends its version."""
     monkeypatch.setattr(follower, "_SETTLE_S", 0.03)
     table = FakeTable(rows(3, b"5"))
-    copy = DocumentCopy(pack(b"4"), 9)
+    copy = DocumentCopy(compress(b"4"), 9)
     run_follower(table, FakeControl(), [("vm-2", copy)], for_s=0.1)
     assert table.calls == [None, 3]
 
 
-def test_daemons_that_read_together_do_not_renew_their_watches_together(monkeypatch):
+def test_watches_of_daemons_started_together_are_not_renewed_together(monkeypatch):
     """Six daemons are killed together and restart, and the store stops answering just
     after each has started its watch. A version is written in the meantime.
 
@@ -356,7 +362,7 @@
     table, control = FakeTable(rows(3, b"5")), FakeControl("vm-2", "vm-3")
     frames = [
         ("vm-2", DocumentFresh(5, 3, 10)),
-        ("vm-2", DocumentCopy(pack(b"5"), 3, 10)),
+        ("vm-2", DocumentCopy(compress(b"5"), 3, 10)),
     ]
     following = run_follower(table, control, frames, for_s=0.5, **shared_options())
     assert following.versions() == {"platform": 5}
@@ -373,7 +379,7 @@
     monkeypatch.setattr(shared_reading, "FIRST_READ_SHARE", 0.05)
     monkeypatch.setattr(shared_reading, "LAST_READ_SHARE", 0.05)
     table, control = FakeTable(rows(9, b"7")), FakeControl("vm-2", "vm-3")
-    copy = DocumentCopy(pack(b"5"), 3, 10)
+    copy = DocumentCopy(compress(b"5"), 3, 10)
     following = run_follower(
         table, control, [("vm-2", copy)], for_s=0.5, **shared_options()
     )
@@ -387,7 +393,7 @@
     frames = [
         ("vm-2", DocumentFresh(5, 3, 10)),
         ("vm-3", DocumentFresh(6, 4, 10)),
-        ("vm-2", DocumentCopy(pack(b"5"), 3, 10)),
+        ("vm-2", DocumentCopy(compress(b"5"), 3, 10)),
     ]
     run_follower(FakeTable(), control, frames, **shared_options())
     assert ("vm-3", DocumentPull(5)) in control.sent
@@ -396,7 +402,10 @@
 def test_confirmation_of_an_older_version_is_ignored():
     """Guards against a daemon that trusts a neighbour with an older version."""
     table, control = FakeTable(), FakeControl("vm-2", "vm-3")
-    frames = [("vm-2", DocumentCopy(pack(b"5"), 3)), ("vm-3", DocumentFresh(4, 9, 0))]
+    frames = [
+        ("vm-2", DocumentCopy(compress(b"5"), 3)),
+        ("vm-3", DocumentFresh(4, 9, 0)),
+    ]
     following = run_follower(table, control, frames, **shared_options())
     assert not following.schedule.is_confirmed
     assert ("vm-3", DocumentHave(5)) in control.sent
@@ -413,10 +422,10 @@
     assert sent.count(DocumentDelta) == 1 and sent.count(DocumentCopy) == 1
 
 
-def test_version_is_announced_before_it_is_here_and_handed_on_as_it_comes():
+def test_version_is_announced_before_it_arrives_and_forwarded_on_arrival():
     """Guards against a propagation delay that includes parsing at each daemon."""
     control = FakeControl("vm-2", "vm-3")
-    copy = DocumentCopy(pack(b"5"), 3)
+    copy = DocumentCopy(compress(b"5"), 3)
     frames = [
         ("vm-2", DocumentHave(5)),
         ("vm-3", DocumentPull(0)),
@@ -437,7 +446,7 @@
     assert asked_vms[:3] == ["vm-2", "vm-3", "vm-2"]
 
 
-def test_neighbours_that_are_lost_are_not_waited_for():
+def test_pull_moves_on_at_once_when_its_neighbour_is_lost():
     """Guards against a version that is delayed as its source has disconnected."""
     control = FakeControl("vm-2", "vm-3", "vm-4")
     frames = [(vm, DocumentHave(5)) for vm in control.neighbours]
@@ -452,13 +461,13 @@
     """Guards against endless copies of an invalid version that saturate a slow link."""
     monkeypatch.setattr(document_exchange, "_PULL_AGAIN_S", 0.01)
     control = FakeControl("vm-2")
-    frames = [("vm-2", DocumentHave(5)), ("vm-2", DocumentCopy(pack(b"bad"), 3))]
+    frames = [("vm-2", DocumentHave(5)), ("vm-2", DocumentCopy(compress(b"bad"), 3))]
     frames += [("vm-2", DocumentHave(5))] * 3
     run_follower(FakeTable(), control, frames, **shared_options())
     assert [frame for _, frame in control.sent if isinstance(frame, DocumentPull)] == []
 
 
-def test_daemon_that_can_not_read_the_newest_version_confirms_nothing():
+def test_daemon_that_rejected_the_newest_version_sends_no_confirmation():
     """Guards against an older release that keeps newer releases at an old version."""
     control = FakeControl("vm-2")
     table = FakeTable(rows(3, b"5", b"bad"))
--- a/tests/test_last_hop.py
+++ b/tests/test_last_hop.py
@@ -7,10 +7,10 @@
 import pytest
 from msgspec.structs import replace
 
-from pepperstair_core.errors import Run
+from pepperstair_core.errors import RunStatus
 from pepperstair_http import HeaderNames
 from pepperstair_targets import TargetOptions
-from tests.call_mesh import Mesh, run_of
+from tests.call_mesh import Mesh, status_and_run
 
 NAMES = HeaderNames(
     timeout_ms=b"x-timeout",
@@ -116,7 +116,7 @@
     refusal = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n"
     await mesh.add("a", answering_with(refusal))
     response = await mesh.call(headers=(ID,))
-    assert run_of(response) == (503, Run.NO)
+    assert status_and_run(response) == (503, RunStatus.NO)
     value = dict(response.headers)[b"retry-after"]
     assert b"." in value
 
@@ -126,7 +126,7 @@
     """A target has exited, and the new target at its address answers 421."""
     other = b"HTTP/1.1 421 Misdirected\r\ncontent-length: 0\r\n\r\n"
     await mesh.add("a", answering_with(other))
-    assert run_of(await mesh.call(headers=(ID,))) == (503, Run.NO)
+    assert status_and_run(await mesh.call(headers=(ID,))) == (503, RunStatus.NO)
 
 
 @pytest.mark.parametrize(
@@ -164,7 +164,7 @@
     """After an invalid answer, it is unknown whether a non-idempotent request ran."""
     await mesh.add("a", answering_with(answer_bytes(is_signed=False)))
     await mesh.add("b", answering_with(answer_bytes(is_signed=False)))
-    assert run_of(await mesh.call(headers=(ID,))) == (502, Run.UNKNOWN)
+    assert status_and_run(await mesh.call(headers=(ID,))) == (502, RunStatus.UNKNOWN)
     assert sum(len(target.heads) for target in mesh.raw.values()) == 1
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -268,5 +268,5 @@
     directory = MemberDirectory(member("a"))
     sweep = RowSweep()
     rows = [MemberRow("a", "a:1", 0), MemberRow("b", "b:1", 0)]
-    stale = [list(sweep.iter_dead(directory, rows)) for _ in range(10)]
+    stale = [list(sweep.iter_stale_vms(directory, rows)) for _ in range(10)]
     assert stale == [[]] * 9 + [["b"]]
--- a/tests/test_ordered_announcements.py
+++ b/tests/test_ordered_announcements.py
@@ -26,10 +26,10 @@
             self.registry, lambda: self.now_ms, lambda: self.wall_ms, silent_ms
         )
 
-    def take(self, name, start_ms, sequence, state=SERVING) -> bool:
+    def accept(self, name, start_ms, sequence, state=SERVING) -> bool:
         """Announce a target."""
         target = Target(name, "127.0.0.1:1", (), 12, 99, state)
-        return self.announcements.take(Announcement(target, start_ms, sequence))
+        return self.announcements.accept(Announcement(target, start_ms, sequence))
 
     def states(self) -> dict[str, TargetState]:
         """Return the state of each registered target."""
@@ -43,10 +43,10 @@
     and cut them off when it exits.
     """
     fixture = Fixture()
-    fixture.take("i-1", 100, 5)
-    fixture.take("i-1", 100, 7, DRAINING)
-    assert not fixture.take("i-1", 100, 6)
-    assert not fixture.take("i-1", 100, 7)
+    fixture.accept("i-1", 100, 5)
+    fixture.accept("i-1", 100, 7, DRAINING)
+    assert not fixture.accept("i-1", 100, 6)
+    assert not fixture.accept("i-1", 100, 7)
     assert fixture.states() == {"i-1": DRAINING}
 
 
@@ -57,44 +57,44 @@
     Otherwise, calls to the crashed target would be sent to the successor.
     """
     fixture = Fixture()
-    fixture.take("i-1", 100, 5)
-    assert fixture.take("i-2", 900, 1)
-    assert not fixture.take("i-1", 100, 6)
+    fixture.accept("i-1", 100, 5)
+    assert fixture.accept("i-2", 900, 1)
+    assert not fixture.accept("i-1", 100, 6)
     assert fixture.states() == {"i-2": SERVING}
-    assert not fixture.announcements.leave("i-1")
+    assert not fixture.announcements.deregister("i-1")
     assert fixture.states() == {"i-2": SERVING}
 
 
 def test_sequence_restarts_when_a_target_restarts_under_its_name():
     fixture = Fixture()
-    fixture.take("i-1", 100, 50)
-    assert fixture.take("i-1", 900, 1)
-    assert not fixture.take("i-1", 100, 51)
+    fixture.accept("i-1", 100, 50)
+    assert fixture.accept("i-1", 900, 1)
+    assert not fixture.accept("i-1", 100, 51)
 
 
 def test_announcement_after_the_deregistration_changes_nothing():
     """A target deregisters; a delayed announcement of it arrives afterwards."""
     fixture = Fixture()
-    fixture.take("i-1", 100, 5)
-    assert fixture.announcements.leave("i-1")
-    assert not fixture.take("i-1", 100, 6)
+    fixture.accept("i-1", 100, 5)
+    assert fixture.announcements.deregister("i-1")
+    assert not fixture.accept("i-1", 100, 6)
     assert fixture.states() == {}
-    assert fixture.take("i-1", 900, 1)
+    assert fixture.accept("i-1", 900, 1)
 
 
-def test_deregistration_that_comes_first_is_remembered():
+def test_deregistration_of_an_unknown_target_is_recorded():
     """A daemon restarts, and the first message of its target is the deregistration.
 
     An earlier announcement was delayed and arrives two seconds later. If it were
     applied, calls would be sent to a target that is about to exit.
     """
     fixture = Fixture()
-    fixture.announcements.leave("i-1")
-    assert not fixture.take("i-1", 100, 6)
-    assert not fixture.take("i-1", 0, 7)
+    fixture.announcements.deregister("i-1")
+    assert not fixture.accept("i-1", 100, 6)
+    assert not fixture.accept("i-1", 0, 7)
     assert fixture.states() == {}
     # A target that restarts under the same name is a new one.
-    assert fixture.take("i-1", WALL_MS + 1, 1)
+    assert fixture.accept("i-1", WALL_MS + 1, 1)
     assert fixture.states() == {"i-1": SERVING}
 
 
@@ -106,30 +106,30 @@
     second one refuses.
     """
     fixture = Fixture(silent_ms=3000)
-    fixture.take("i-2", 0, 1)
+    fixture.accept("i-2", 0, 1)
     fixture.now_ms = 1400
-    assert not fixture.take("i-1", 0, 9)
+    assert not fixture.accept("i-1", 0, 9)
     assert fixture.states() == {"i-2": SERVING}
     # The known target counts as gone after no announcement for `silent_ms`.
     fixture.now_ms = 3000
-    assert fixture.take("i-1", 0, 10)
+    assert fixture.accept("i-1", 0, 10)
     assert fixture.states() == {"i-1": SERVING}
 
 
 def test_successor_of_a_deregistered_target_is_accepted_at_once():
     fixture = Fixture(silent_ms=3000)
-    fixture.take("i-1", 0, 1)
-    fixture.announcements.leave("i-1")
-    assert fixture.take("i-2", 0, 1)
+    fixture.accept("i-1", 0, 1)
+    fixture.announcements.deregister("i-1")
+    assert fixture.accept("i-2", 0, 1)
     assert fixture.states() == {"i-2": SERVING}
 
 
 def test_restored_departure_does_not_replace_a_newer_one():
     """The stored departures are read after a newer announcement has arrived."""
     fixture = Fixture()
-    fixture.take("i-1", 100, 8, DRAINING)
+    fixture.accept("i-1", 100, 8, DRAINING)
     fixture.announcements.restore([Departure("i-1", 100, 4, 0)])
-    assert not fixture.take("i-1", 100, 7)
+    assert not fixture.accept("i-1", 100, 7)
     assert fixture.states() == {"i-1": DRAINING}
 
 
@@ -140,21 +140,21 @@
     Otherwise, it would get no calls until its sequence exceeded the earlier one.
     """
     fixture = Fixture(silent_ms=3000)
-    fixture.take("i-1", 0, 50)
+    fixture.accept("i-1", 0, 50)
     fixture.now_ms = 1500
-    assert not fixture.take("i-1", 0, 1)
+    assert not fixture.accept("i-1", 0, 1)
     fixture.now_ms = 3000
-    assert fixture.take("i-1", 0, 2)
-    assert fixture.take("i-1", 0, 3)
+    assert fixture.accept("i-1", 0, 2)
+    assert fixture.accept("i-1", 0, 3)
 
 
 def test_deregistered_name_is_accepted_again_after_the_maximum_delay():
     """Announcements can be delayed for seconds, not for half a minute."""
     fixture = Fixture()
-    fixture.take("i-1", 0, 5)
-    fixture.announcements.leave("i-1")
+    fixture.accept("i-1", 0, 5)
+    fixture.announcements.deregister("i-1")
     fixture.wall_ms += ANNOUNCEMENT_DELAY_MAX_MS - 1
-    assert not fixture.take("i-1", 0, 6)
+    assert not fixture.accept("i-1", 0, 6)
     fixture.wall_ms += 1
-    assert fixture.take("i-1", 0, 1)
+    assert fixture.accept("i-1", 0, 1)
     assert fixture.states() == {"i-1": SERVING}
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -13,7 +13,7 @@
     MEMBERSHIP_SETTLE_MS,
     N_WATCHERS,
     ReadSchedule,
-    place_among_readers,
+    reader_rank,
 )
 
 BOUND_MS = 2000.0
@@ -141,8 +141,7 @@
             ]
             living = [member for member in members if member.vm not in removed]
             self._reader_ranks[key] = {
-                member.vm: place_among_readers(member, living, "config")
-                for member in members
+                member.vm: reader_rank(member, living, "config") for member in members
             }
         return self._reader_ranks[key][daemon.name]
 
@@ -193,7 +192,7 @@
 
     def _fail(self, daemon: Daemon) -> None:
         daemon.reading = None
-        daemon.schedule.fail(self.now_ms)
+        daemon.schedule.record_read_failure(self.now_ms)
         daemon.idle_until_ms = self.now_ms + daemon.backoff_ms
         daemon.backoff_ms = min(1000.0, 2 * daemon.backoff_ms)
 
@@ -289,12 +288,12 @@
         Member(f"vm-{link}", 1, 0, MemberState.ALIVE, "z", "", (), link_mbps=link)
         for link in links
     ]
-    ranks = [place_among_readers(member, members, "config") for member in members]
+    ranks = [reader_rank(member, members, "config") for member in members]
     assert ranks[0] == 4 and ranks[2] == 3 and ranks[4] == 0
     assert {ranks[1], ranks[3]} == {1, 2}
 
 
-def test_daemons_that_start_together_do_not_all_read_over_narrow_links():
+def test_daemons_that_start_together_do_not_all_read_over_slow_links():
     """Guards against copies from neighbours that queue behind a read of the store."""
     schedule = ReadSchedule(BOUND_MS, 0.0, random.Random(1), read_ms=600.0)
     first_ms = schedule.due_ms(0, 0.0)
