--- a/packages/pepperstaird/pepperstaird/configuration/__init__.py
+++ b/packages/pepperstaird/pepperstaird/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration on this daemon: carries out what the distribution decides."""
+"""Configuration on this daemon: executes the decisions of the distribution logic."""
 
 from __future__ import annotations
 
--- a/packages/pepperstaird/pepperstaird/configuration/agent.py
+++ b/packages/pepperstaird/pepperstaird/configuration/agent.py
@@ -1,4 +1,4 @@
-"""Brings accepted versions to this daemon and puts them in force."""
+"""Distributes accepted versions to this daemon and puts them in force."""
 
 from __future__ import annotations
 
@@ -63,11 +63,15 @@
 log = structlog.get_logger(__name__)
 
 _TICK_S: Final = 0.05
-_N_UNKNOWN_CHANGES_MAX: Final = 1000
+_N_UNKNOWN_OUTCOMES_MAX: Final = 1000
 
 
 class ConfigurationAgent:
-    """Holds the versions in force and carries out the distribution's decisions."""
+    """Holds the versions in force and executes the actions of the distribution.
+
+    `distribution` is the state machine without input or output: it receives
+    events, and the agent executes the actions that it returns.
+    """
 
     def __init__(
         self,
@@ -86,11 +90,11 @@
         self._proxy_labels: Labels = dict(own.labels)
         self._in_force: dict[str, Snapshot] = {}
         self._platform = platform
-        self._unknown_changes: deque[str] = deque(maxlen=_N_UNKNOWN_CHANGES_MAX)
+        self._unknown_outcome_ids: deque[str] = deque(maxlen=_N_UNKNOWN_OUTCOMES_MAX)
         self._outbox = Outbox()
         self._source = ConfigurationSource(platform, self._handle)
         self._tasks: list[asyncio.Task[None]] = []
-        self._has_work = asyncio.Event()
+        self._has_inbox_items = asyncio.Event()
         timing = Timing(poll_interval_ms=settings.poll_interval_ms)
         self.distribution = Distribution(own.vm, own.availability_zone, rng, timing)
         self.records = VersionRecords()
@@ -101,16 +105,16 @@
 
     @property
     def is_floor_known(self) -> bool:
-        """Return whether all that the daemon may have held before is in force."""
+        """Return whether every version is in force that it may have held before."""
         return self.distribution.floor.is_known
 
     @property
     def reached_by(self) -> str:
-        """Return who told the floor: the platform, neighbours or nobody yet."""
+        """Return the source of the floor: platform, neighbours or none yet."""
         return self.distribution.floor.reached_by.value
 
     def start(self) -> None:
-        """Begin to listen to the neighbours and to the clock."""
+        """Register the callbacks of the control plane and start the tasks."""
         control = self._control
         control.neighbour_up_callbacks.append(lambda vm: self._handle(NeighbourUp(vm)))
         control.neighbour_down_callbacks.append(self._on_neighbour_down)
@@ -119,43 +123,43 @@
         )
         loop = asyncio.get_running_loop()
         self._tasks = [
-            loop.create_task(self._tick_for_ever()),
-            loop.create_task(self._work_for_ever()),
+            loop.create_task(self._tick_forever()),
+            loop.create_task(self._apply_inbox_forever()),
         ]
 
     def close(self) -> None:
-        """Stop every task."""
+        """Cancel every task and every read."""
         for task in self._tasks:
             task.cancel()
         self._source.close()
 
     def members_changed(self) -> None:
-        """Take the directory's records in."""
+        """Pass the current members of the directory to the distribution."""
         self._handle(MembersChanged(self._directory.members()))
 
     def catch_up(self) -> None:
-        """Learn the floor again after a pause, before calls are carried."""
+        """Determine the floor again after a pause, before calls are served."""
         self._handle(Paused())
 
     async def accept(self, change: ChangeRequest) -> Result[Accepted, Failure]:
-        """Commit a change on the platform and spread it, or say why not.
+        """Commit a change on the platform and distribute it, or return the failure.
 
-        A change that is in force here already is answered without the platform,
-        so asking again after a lost answer helps during an outage too.
+        A change that is already in force here is answered without the platform,
+        so a retry after a lost answer succeeds during an outage too.
         """
-        repeated = self._find_repeated(change)
+        repeated = self._find_accepted(change)
         if repeated is not None:
             return repeated
-        if change.change_id in self._unknown_changes:
+        if change.change_id in self._unknown_outcome_ids:
             change = replace(change, is_asked_again=True)
         accepted = await accept_change(self._platform, change)
         if accepted.is_ok():
             self._handle(ChangeAccepted(accepted.unwrap().snapshot))
         elif accepted.unwrap_err().kind is ErrorKind.CHANGE_OUTCOME_UNKNOWN:
-            self._unknown_changes.append(change.change_id)
+            self._unknown_outcome_ids.append(change.change_id)
         return accepted
 
-    def _find_repeated(self, change: ChangeRequest) -> Result[Accepted, Failure] | None:
+    def _find_accepted(self, change: ChangeRequest) -> Result[Accepted, Failure] | None:
         customer = change.intent.customer
         record = self.records.find_change(customer, change.change_id)
         if record is None:
@@ -174,7 +178,10 @@
         return self._in_force.get(customer)
 
     def collect(self, customer: str, version: int) -> Collection:
-        """Begin to collect where a version is in force, asking the fleet at once."""
+        """Start to collect the VMs that have a version in force.
+
+        The first inquiry to the fleet is sent without delay.
+        """
         distribution = self.distribution
         return collect(
             distribution.convergence,
@@ -186,13 +193,13 @@
         )
 
     def proxy_labels(self) -> Labels:
-        """Return the labels of this proxy, as operators have overridden them."""
+        """Return the labels of this proxy with the operators' overrides applied."""
         labels = dict(self._proxy_labels)
         apply_override(labels, self.overrides.get(self._own_vm, {}))
         return labels
 
     def age_ms(self) -> int:
-        """Return -1: heads of all customers are polled, not proved one by one."""
+        """Return -1 (unknown): heads are polled, without a proof for each customer."""
         return -1
 
     def counters(self) -> dict[str, int]:
@@ -200,7 +207,11 @@
         return asdict(self.distribution.state.counters)
 
     def rejected(self) -> dict[str, Any]:
-        """Return the versions that were applied nowhere in part, and why."""
+        """Return the rejected version of each customer, and the cause.
+
+        No part of a rejected version is applied. Customers that hold the same or
+        a newer version by now are omitted.
+        """
         return {
             name: {"version": state.rejected.version, "cause": state.rejected_cause}
             for name, state in sorted(self.distribution.state.customers.items())
@@ -211,14 +222,14 @@
     def _handle(self, event: DistributionEvent) -> None:
         was_floor_known = self.is_floor_known
         for action in self.distribution.handle(event, monotonic_ms()):
-            self._carry_out(action)
+            self._execute(action)
         if self.is_floor_known and not was_floor_known:
             log.info(Event.READY, reached_by=self.reached_by)
-        self._flush()
+        self._flush_outbox()
         if self.distribution.state.inbox:
-            self._has_work.set()
+            self._has_inbox_items.set()
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Send(vm, frame, ""):
                 self._control.send(vm, frame)
@@ -229,14 +240,14 @@
             case Reject():
                 self._report_rejected(action)
             case Note(kind, subject, cause, figures):
-                self._decide(kind, subject, cause, figures)
+                self._record_decision(kind, subject, cause, figures)
             case Converged():
                 self._report_converged(action)
             case _:
                 self._source.start(action)
 
-    def _flush(self) -> None:
-        """Send what waits, as long as each neighbour takes it."""
+    def _flush_outbox(self) -> None:
+        """Send queued frames while the stream to each neighbour is writable."""
         for vm in list(self._outbox.waiting()):
             while self._control.is_writable(vm):
                 frame = self._outbox.take(vm)
@@ -268,10 +279,10 @@
             cause=action.cause,
         )
         cause = f"version {head.version}: {action.cause}"
-        self._decide(DecisionKind.REJECTED, head.customer, cause, ())
+        self._record_decision(DecisionKind.REJECTED, head.customer, cause, ())
 
     def _report_converged(self, action: Converged) -> None:
-        self.records.note_convergence(
+        self.records.record_convergence(
             action.customer, action.version, action.convergence_ms
         )
         record = self.records.find(action.customer, action.version)
@@ -285,7 +296,7 @@
             n_vms=action.n_vms,
         )
 
-    def _decide(
+    def _record_decision(
         self,
         kind: DecisionKind,
         subject: str,
@@ -298,21 +309,21 @@
         self._outbox.drop(vm)
         self._handle(NeighbourDown(vm))
 
-    async def _tick_for_ever(self) -> None:
+    async def _tick_forever(self) -> None:
         self.members_changed()
         while True:
             self._handle(Tick())
             await asyncio.sleep(_TICK_S)
 
-    async def _work_for_ever(self) -> None:
-        """Apply what was received, one piece between two turns of the loop.
+    async def _apply_inbox_forever(self) -> None:
+        """Apply received versions, one item per iteration of the event loop.
 
-        A burst of large versions applied in one go would hold the loop, and
-        calls on this VM would wait for it.
+        A burst of large versions that is applied at once would block the event
+        loop and delay the calls on this VM.
         """
         while True:
-            await self._has_work.wait()
-            self._has_work.clear()
+            await self._has_inbox_items.wait()
+            self._has_inbox_items.clear()
             while self.distribution.state.inbox:
                 self._handle(Work())
                 await asyncio.sleep(0)
--- a/packages/pepperstaird/pepperstaird/configuration/change_lines.py
+++ b/packages/pepperstaird/pepperstaird/configuration/change_lines.py
@@ -1,4 +1,4 @@
-"""One line of waiting changes for each customer."""
+"""A queue of changes for each customer."""
 
 from __future__ import annotations
 
@@ -16,42 +16,44 @@
 
 
 class ChangeLines:
-    """Lets one change of each customer be read and committed at a time.
+    """Serializes the parsing and the commit of changes per customer.
 
-    Changes of one customer can't be accepted side by side anyway, as each takes
-    the next version. Without a line, a burst of a large customer's documents
-    would be read all at once, and the event loop would answer nobody else for
-    as long as that takes.
+    Changes of one customer can't be accepted concurrently anyway, as each takes
+    the next version. Without a queue, a burst of large documents of one customer
+    would be parsed all at once and block the event loop for everybody else.
     """
 
     def __init__(self) -> None:
-        self._locks: dict[str, asyncio.Lock] = {}
-        self._n_in_line: dict[str, int] = {}
+        self._customer_locks: dict[str, asyncio.Lock] = {}
+        self._n_queued: dict[str, int] = {}
 
     @asynccontextmanager
     async def turn(self, customer: str) -> AsyncIterator[bool]:
-        """Wait for a customer's turn; False where the line is too long."""
-        if self._n_in_line.get(customer, 0) > N_WAITING_MAX:
+        """Wait for a customer's lock; yield False if the queue is full or too slow.
+
+        Up to `N_WAITING_MAX` changes wait, each for up to `WAIT_MAX_MS`.
+        """
+        if self._n_queued.get(customer, 0) > N_WAITING_MAX:
             yield False
             return
-        lock = self._locks.setdefault(customer, asyncio.Lock())
-        self._n_in_line[customer] = self._n_in_line.get(customer, 0) + 1
-        is_taken = False
+        lock = self._customer_locks.setdefault(customer, asyncio.Lock())
+        self._n_queued[customer] = self._n_queued.get(customer, 0) + 1
+        is_acquired = False
         try:
-            is_taken = await _take(lock)
-            yield is_taken
+            is_acquired = await _acquire_in_time(lock)
+            yield is_acquired
         finally:
-            if is_taken:
+            if is_acquired:
                 lock.release()
-            self._leave(customer)
+            self._dequeue(customer)
 
-    def _leave(self, customer: str) -> None:
-        self._n_in_line[customer] -= 1
-        if not self._n_in_line[customer]:
-            del self._n_in_line[customer], self._locks[customer]
+    def _dequeue(self, customer: str) -> None:
+        self._n_queued[customer] -= 1
+        if not self._n_queued[customer]:
+            del self._n_queued[customer], self._customer_locks[customer]
 
 
-async def _take(lock: asyncio.Lock) -> bool:
+async def _acquire_in_time(lock: asyncio.Lock) -> bool:
     try:
         async with asyncio.timeout(WAIT_MAX_MS / 1000):
             await lock.acquire()
--- a/packages/pepperstaird/pepperstaird/configuration/records.py
+++ b/packages/pepperstaird/pepperstaird/configuration/records.py
@@ -1,4 +1,4 @@
-"""What this daemon remembers of the versions it put in force."""
+"""Records of the versions that this daemon has put in force."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class VersionRecord(Struct, frozen=True):
-    """One version: from whom it was learnt, and when it went in force here.
+    """One version, the peer it was received from and when it went in force here.
 
-    `convergence_ms` is known on the daemon that accepted the change, and on
-    whoever was asked to wait for it.
+    `in_force_at_ms` is in Unix milliseconds. `convergence_ms` is known on the
+    daemon that accepted the change, and on those that were asked to wait for it.
     """
 
     head: Head
@@ -30,39 +30,39 @@
 
 
 class VersionRecords:
-    """The newest versions of each customer, oldest first."""
+    """The newest `N_RECORDS_MAX` versions of each customer, oldest first."""
 
     def __init__(self) -> None:
         self._records: dict[str, deque[VersionRecord]] = {}
 
     def add(self, record: VersionRecord) -> None:
-        """Keep a version that went in force."""
+        """Record a version that went in force."""
         records = self._records.setdefault(
             record.head.customer, deque(maxlen=N_RECORDS_MAX)
         )
         records.append(record)
 
-    def note_convergence(
+    def record_convergence(
         self, customer: str, version: int, convergence_ms: int
     ) -> None:
-        """Keep how long a version took until it was in force everywhere."""
+        """Record how long a version took until it was in force everywhere."""
         records = self._records.get(customer, deque())
         for index, record in enumerate(records):
             if record.head.version == version:
                 records[index] = replace(record, convergence_ms=convergence_ms)
 
-    def of(self, customer: str) -> tuple[VersionRecord, ...]:
+    def of_customer(self, customer: str) -> tuple[VersionRecord, ...]:
         """Return a customer's versions, oldest first."""
         return tuple(self._records.get(customer, ()))
 
     def find(self, customer: str, version: int) -> VersionRecord | None:
-        """Return the record of one version."""
-        found = (r for r in self.of(customer) if r.head.version == version)
+        """Return the record of one version, None if there is none."""
+        found = (r for r in self.of_customer(customer) if r.head.version == version)
         return next(found, None)
 
     def find_change(self, customer: str, change_id: str) -> VersionRecord | None:
-        """Return the record of the version that a change became."""
-        found = (r for r in self.of(customer) if r.head.change_id == change_id)
+        """Return the record of the version that a change created, None if unknown."""
+        found = (r for r in self.of_customer(customer) if r.head.change_id == change_id)
         return next(found, None)
 
 
--- a/packages/pepperstaird/pepperstaird/configuration/source.py
+++ b/packages/pepperstaird/pepperstaird/configuration/source.py
@@ -1,4 +1,4 @@
-"""Carries out the distribution's reads at the platform."""
+"""Executes the reads that the distribution requests from the platform."""
 
 from __future__ import annotations
 
@@ -37,7 +37,11 @@
 
 
 class ConfigurationSource:
-    """Reads bells, heads and bodies, and tells what came of each read."""
+    """Reads bucket tokens, heads and objects, and reports each result as an event.
+
+    A bucket token is the row `bell/<bucket>`, which changes with any head of the
+    bucket.
+    """
 
     def __init__(
         self, platform: Platform, on_event: Callable[[DistributionEvent], None]
@@ -45,32 +49,32 @@
         self._platform = platform
         self._on_event = on_event
         self._tasks: set[asyncio.Task[None]] = set()
-        self._running: set[Action] = set()
+        self._in_progress: set[Action] = set()
         self.is_reachable = True
 
     def close(self) -> None:
-        """Give up every read."""
+        """Cancel every read."""
         for task in self._tasks:
             task.cancel()
 
     def start(self, action: Action) -> None:
-        """Begin a read, unless the same one is still under way.
+        """Start a read, unless the same one is still in progress.
 
-        While the platform is slow the same read falls due again and again;
-        without this check they would pile up until memory runs out.
+        While the platform is slow, the same read becomes due repeatedly; without
+        this check pending reads would accumulate until memory runs out.
         """
-        if action in self._running:
+        if action in self._in_progress:
             return
-        self._running.add(action)
-        task = asyncio.get_running_loop().create_task(self._run(action))
+        self._in_progress.add(action)
+        task = asyncio.get_running_loop().create_task(self._run_read(action))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _run(self, action: Action) -> None:
+    async def _run_read(self, action: Action) -> None:
         try:
             event = await self._read(action)
         finally:
-            self._running.discard(action)
+            self._in_progress.discard(action)
         self._on_event(event)
 
     def _read(self, action: Action) -> Coroutine[Any, Any, DistributionEvent]:
@@ -87,7 +91,7 @@
 
     async def _read_bells(self) -> DistributionEvent:
         read = await self._platform.read_rows(bells_prefix())
-        self._note(read.is_ok())
+        self._log_reachability(read.is_ok())
         if read.is_err():
             return BellsRead(None)
         return BellsRead({bucket_of_bell(row): row.value for row in read.unwrap()})
@@ -95,7 +99,7 @@
     async def _read_heads(self, bucket: int | None, number: int) -> DistributionEvent:
         prefix = _ALL_HEADS if bucket is None else head_prefix(bucket)
         read = await self._platform.read_rows(prefix)
-        self._note(read.is_ok())
+        self._log_reachability(read.is_ok())
         if read.is_err():
             return HeadsRead(bucket, None, number)
         return HeadsRead(bucket, tuple(map(head_from_row, read.unwrap())), number)
@@ -111,8 +115,8 @@
         read = await self._platform.get_object(head.digest, head.customer)
         return ObjectFetched(head, read.unwrap() if read.is_ok() else None)
 
-    def _note(self, is_reachable: bool) -> None:
-        """Log when the platform goes out and when it is back, once each."""
+    def _log_reachability(self, is_reachable: bool) -> None:
+        """Log the start and the end of an outage of the platform, once each."""
         if is_reachable != self.is_reachable:
             self.is_reachable = is_reachable
             if is_reachable:
--- a/packages/pepperstaird/pepperstaird/configuration_operations.py
+++ b/packages/pepperstaird/pepperstaird/configuration_operations.py
@@ -1,4 +1,4 @@
-"""What the operators' interface answers about versions and their spreading."""
+"""Operations of the operators' interface on versions and their distribution."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 
 
 def add_configuration_operations(server: OperatorServer, daemon: Daemon) -> None:
-    """Serve `wait`, `history` and `explain` of a daemon."""
+    """Register the `wait`, `history` and `explain` operations of a daemon."""
 
     async def wait(request: OperatorRequest) -> OperatorReply:
         return await _wait(daemon, request)
 
     async def history(request: OperatorRequest) -> OperatorReply:
-        records = daemon.configuration.records.of(request.name)
+        records = daemon.configuration.records.of_customer(request.name)
         return json_reply({"changes": [_change_content(r) for r in records]})
 
     async def explain(request: OperatorRequest) -> OperatorReply:
@@ -62,15 +62,15 @@
 
 
 async def _wait(daemon: Daemon, request: OperatorRequest) -> OperatorReply:
-    """Answer once the version is in force everywhere, or after a short wait."""
+    """Answer once the version is in force everywhere, or after the timeout."""
     customer = request.name
     state = daemon.configuration.distribution.state
-    known = state.customers.get(customer)
-    held_version = known.held_version if known else 0
-    wanted = query_version(request, "version")
-    if wanted.is_err():
-        return failure_reply(wanted.unwrap_err())
-    version = wanted.unwrap() or held_version
+    customer_state = state.customers.get(customer)
+    held_version = customer_state.held_version if customer_state else 0
+    requested = query_version(request, "version")
+    if requested.is_err():
+        return failure_reply(requested.unwrap_err())
+    version = requested.unwrap() or held_version
     if not version:
         return failure_reply(Failure(ErrorKind.NOT_FOUND, customer))
     timeout_ms = _timeout_ms(request.query.get("timeout_ms", ""))
@@ -83,13 +83,13 @@
 
 
 def wait_content(daemon: Daemon, customer: str, version: int) -> dict[str, Any]:
-    """Return on which live members a version, or a newer one, is in force."""
+    """Return which live members have a version, or a newer one, in force."""
     state = daemon.configuration.distribution.state
-    known = state.customers.get(customer)
+    customer_state = state.customers.get(customer)
     vms: set[str] = set()
     missing = list(state.fleet.live())
     convergence_ms = None
-    if known is not None and version <= known.held_version:
+    if customer_state is not None and version <= customer_state.held_version:
         collection = daemon.configuration.collect(customer, version)
         vms = collection.vms
         missing = list(missing_vms(collection, state))
@@ -110,14 +110,17 @@
 def explain_configuration(
     daemon: Daemon, customer: str, route: str
 ) -> dict[str, Any] | None:
-    """Return why this proxy carries a customer's version and one of its routes."""
+    """Return the origin of a customer's version in force and of one of its routes.
+
+    Return None where no version of the customer is in force.
+    """
     snapshot = daemon.configuration.get(customer)
     if snapshot is None:
         return None
     record = daemon.configuration.records.find(customer, snapshot.head.version)
-    known = daemon.configuration.distribution.state.customer(customer)
+    customer_state = daemon.configuration.distribution.state.customer(customer)
     content = _change_content(record) if record else asdict(snapshot.head)
-    content["held_version"] = known.held_version
+    content["held_version"] = customer_state.held_version
     content["rejected"] = daemon.configuration.rejected().get(customer)
     if route:
         content["route"] = _route_content(daemon, snapshot, route)
--- a/packages/pepperstaird/pepperstaird/crash_reports.py
+++ b/packages/pepperstaird/pepperstaird/crash_reports.py
@@ -19,10 +19,10 @@
 
 log = structlog.get_logger(__name__)
 
-_N_PER_FRAME_MAX: Final = 64
+_N_RECORDS_PER_FRAME_MAX: Final = 64
 # News of this long goes out together: a crash is followed by as many answers that
 # clear what ran beside its cause.
-_GATHER_S: Final = 0.05
+_BATCH_DELAY_S: Final = 0.05
 
 
 class CrashReports:
@@ -48,15 +48,15 @@
         self._rows = rows
         self._decisions = decisions
         self._now_ms = now_ms
-        self._numbers = itertools.count(1)
+        self._crash_numbers = itertools.count(1)
         # What is to be told, and by which neighbour it came, if by a single one.
         self._pending: dict[bytes, str] = {}
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         """Begin to listen to the neighbours, and read what the platform keeps."""
-        self._control.on_crash_records = self._take
-        self._control.neighbour_up_callbacks.append(self._tell_all)
+        self._control.on_crash_records = self._handle_frame
+        self._control.neighbour_up_callbacks.append(self._send_open_records)
         self._rows.start(self._restore)
 
     def close(self) -> None:
@@ -68,7 +68,7 @@
     def report_crash(self, target: str, running: tuple[bytes, ...]) -> None:
         """Take that a target of this VM has ended, and what it was running."""
         identity = self._identity
-        crash_id = f"{identity.vm}/{identity.start_id}/{next(self._numbers)}"
+        crash_id = f"{identity.vm}/{identity.start_id}/{next(self._crash_numbers)}"
         charged = self._quarantine.record_crash(running, crash_id, self._now_ms())
         suspects = [record.fingerprint.hex() for record in charged]
         log.warning(
@@ -77,10 +77,10 @@
             suspects=suspects,
             n_running=len(running),
         )
-        self._spread(charged)
+        self._queue_records(charged)
         quarantined = [found for found in charged if self._is_quarantined(found)]
         for record in quarantined:
-            self._note_quarantined(record.fingerprint)
+            self._report_quarantined(record.fingerprint)
         if not quarantined:
             # Neighbours can't tell what is known on the other side of a partition.
             self._rows.read()
@@ -88,29 +88,29 @@
     def report_cleared(self, cleared: CrashRecord) -> None:
         """Take that a suspected request was answered by a target of this VM."""
         log.info(Event.REQUEST_CLEARED, fingerprint=cleared.fingerprint.hex())
-        self._spread((cleared,))
+        self._queue_records((cleared,))
 
-    def _take(self, vm: str, frame: CrashRecords) -> None:
-        self._spread(self._merge(frame.records), vm)
+    def _handle_frame(self, vm: str, frame: CrashRecords) -> None:
+        self._queue_records(self._merge(frame.records), vm)
 
     def _restore(self, kept: Iterable[CrashRecord]) -> None:
-        self._spread(self._merge(kept))
+        self._queue_records(self._merge(kept))
 
-    def _merge(self, told: Iterable[CrashRecord]) -> Iterable[CrashRecord]:
+    def _merge(self, reported: Iterable[CrashRecord]) -> Iterable[CrashRecord]:
         """Yield what was news."""
-        for record in told:
+        for record in reported:
             was_quarantined = self._is_quarantined(record)
             if not self._quarantine.merge(record, self._now_ms()):
                 continue
             if self._is_quarantined(record) and not was_quarantined:
-                self._note_quarantined(record.fingerprint)
+                self._report_quarantined(record.fingerprint)
             yield record
 
     def _is_quarantined(self, record: CrashRecord) -> bool:
         standing = self._quarantine.standing(record.fingerprint, self._now_ms())
         return standing is Standing.QUARANTINED
 
-    def _note_quarantined(self, quarantined: bytes) -> None:
+    def _report_quarantined(self, quarantined: bytes) -> None:
         """Say that a request is quarantined; keep it where a target here has crashed.
 
         Crashes that happen together are added up elsewhere than where they were seen,
@@ -135,32 +135,34 @@
             )
         )
 
-    def _tell_all(self, vm: str) -> None:
+    def _send_open_records(self, vm: str) -> None:
         """Tell a new neighbour what is suspected; what was cleared it need not know."""
         records = self._quarantine.records()
-        self._tell(vm, (found for found in records if found.is_open))
+        self._send_records(vm, (found for found in records if found.is_open))
 
-    def _spread(self, records: Iterable[CrashRecord], sender: str = "") -> None:
+    def _queue_records(self, records: Iterable[CrashRecord], sender: str = "") -> None:
         for record in records:
             known = self._pending.setdefault(record.fingerprint, sender)
             if known != sender:
                 self._pending[record.fingerprint] = ""
         if self._pending and self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(_GATHER_S, self._flush)
+            self._timer = loop.call_later(_BATCH_DELAY_S, self._flush)
 
     def _flush(self) -> None:
         self._timer = None
         pending, self._pending = self._pending, {}
         # One may have made room for others meanwhile.
         known = [found for found in pending if found in self._quarantine]
-        told = [self._quarantine.get(found) for found in known]
+        reported = [self._quarantine.get(found) for found in known]
         for vm in self._control.neighbours:
-            self._tell(vm, (item for item in told if pending[item.fingerprint] != vm))
+            self._send_records(
+                vm, (item for item in reported if pending[item.fingerprint] != vm)
+            )
 
-    def _tell(self, vm: str, records: Iterable[CrashRecord]) -> None:
+    def _send_records(self, vm: str, records: Iterable[CrashRecord]) -> None:
         left = iter(records)
-        while taken := tuple(itertools.islice(left, _N_PER_FRAME_MAX)):
+        while taken := tuple(itertools.islice(left, _N_RECORDS_PER_FRAME_MAX)):
             self._control.send(vm, CrashRecords(taken))
 
 
--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -21,14 +21,14 @@
 from pepperstair_platform import Row, RowTable
 from pepperstair_targets import LAST_SEQUENCE, Departure, OrderedAnnouncements
 
-from .row_calls import call_until_answered, delete_some
+from .row_calls import call_until_answered, delete_batch
 
 log = structlog.get_logger(__name__)
 
 _PREFIX: Final = "departure/"
 # Announcements are held up for seconds; ten minutes are room for any of them, and
 # rows that are older are deleted by whoever writes one next.
-KEPT_MS: Final = 600_000
+RETENTION_MS: Final = 600_000
 # How long an acknowledgement waits for its row, and the first announcement for
 # what was kept. Targets wait a second for the answer; a row takes some 20 ms.
 WAIT_MAX_S: Final = 0.4
@@ -50,18 +50,18 @@
         is_first_start: bool = False,
     ) -> None:
         self._is_first_start = is_first_start
-        self._old_keys: list[str] = []
+        self._expired_keys: list[str] = []
         self._table = table
         self._key = f"{_PREFIX}{vm}"
         self._announcements = announcements
         self._wall_ms = wall_ms
         self._saved: frozenset[tuple[str, int, bool]] = frozenset()
-        self._restoring: asyncio.Task[None] | None = None
-        self._writing: asyncio.Task[None] | None = None
+        self._restore_task: asyncio.Task[None] | None = None
+        self._write_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         """Begin to read what was kept."""
-        self._reading()
+        self._start_restore()
 
     async def restored(self) -> None:
         """Return once the row was read, or after a while without it.
@@ -69,27 +69,27 @@
         With the platform away the daemon can't know; a target that serves is
         worth more than what a rare delayed announcement costs.
         """
-        if not self._reading().done():
-            await asyncio.wait([self._reading()], timeout=WAIT_MAX_S)
+        if not self._start_restore().done():
+            await asyncio.wait([self._start_restore()], timeout=WAIT_MAX_S)
 
     async def save(self) -> None:
         """Write what is new, and return once it is kept or after a while."""
-        wanted = self._wanted()
-        if wanted == self._saved:
+        current = self._current_departures()
+        if current == self._saved:
             return
-        self._saved = wanted
-        if self._writing is not None:
-            self._writing.cancel()
-        self._writing = asyncio.get_running_loop().create_task(self._write())
-        await asyncio.wait([self._writing], timeout=WAIT_MAX_S)
+        self._saved = current
+        if self._write_task is not None:
+            self._write_task.cancel()
+        self._write_task = asyncio.get_running_loop().create_task(self._write())
+        await asyncio.wait([self._write_task], timeout=WAIT_MAX_S)
 
-    def _reading(self) -> asyncio.Task[None]:
+    def _start_restore(self) -> asyncio.Task[None]:
         """Return the task that reads the row, which the first call starts."""
-        if self._restoring is None:
-            self._restoring = asyncio.get_running_loop().create_task(self._restore())
-        return self._restoring
+        if self._restore_task is None:
+            self._restore_task = asyncio.get_running_loop().create_task(self._restore())
+        return self._restore_task
 
-    def _wanted(self) -> frozenset[tuple[str, int, bool]]:
+    def _current_departures(self) -> frozenset[tuple[str, int, bool]]:
         """Return what the row has to say; a target that drains says so repeatedly."""
         return frozenset(
             (item.name, item.start_ms, item.sequence == LAST_SEQUENCE)
@@ -101,8 +101,8 @@
             return
         found = await call_until_answered(lambda: self._table.read_rows(_PREFIX))
         rows = [row for row in found if row.key == self._key]
-        oldest_ms = self._wall_ms() - KEPT_MS
-        self._old_keys = [
+        oldest_ms = self._wall_ms() - RETENTION_MS
+        self._expired_keys = [
             row.key
             for row in found
             if row.key != self._key and _newest_ms(row) < oldest_ms
@@ -111,24 +111,24 @@
         kept = [item for item in kept if item.noted_ms >= oldest_ms]
         self._announcements.restore(kept)
         if kept:
-            self._saved |= self._wanted()
+            self._saved |= self._current_departures()
             names = [item.name for item in kept]
             log.info(Event.DEPARTURES_RESTORED, targets=names)
 
     async def _write(self) -> None:
         # Else a daemon that restarted would write over what it kept before.
-        await asyncio.shield(self._reading())
-        oldest_ms = self._wall_ms() - KEPT_MS
+        await asyncio.shield(self._start_restore())
+        oldest_ms = self._wall_ms() - RETENTION_MS
         departures = self._announcements.departures()
         kept = [astuple(item) for item in departures if item.noted_ms >= oldest_ms]
         row = Row(self._key, json.dumps(kept))
         await call_until_answered(lambda: self._table.commit((), (row,)))
-        await self._delete_old()
+        await self._delete_expired()
 
-    async def _delete_old(self) -> None:
+    async def _delete_expired(self) -> None:
         """Delete rows that counted no more at the start, as of VMs that are gone."""
-        old, self._old_keys = self._old_keys, []
-        await delete_some(self._table, old)
+        expired_keys, self._expired_keys = self._expired_keys, []
+        await delete_batch(self._table, expired_keys)
 
 
 def _iter_departures(row: Row) -> Iterator[Departure]:
@@ -145,4 +145,4 @@
     return max((item.noted_ms for item in _iter_departures(row)), default=0)
 
 
-__all__ = ["KEPT_MS", "WAIT_MAX_S", "DepartureRows"]
+__all__ = ["RETENTION_MS", "WAIT_MAX_S", "DepartureRows"]
--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -1,4 +1,4 @@
-"""Passes versions of the followed document, and how fresh they are, to neighbours."""
+"""Exchanges versions of the followed document, and their freshness, with neighbours."""
 
 from __future__ import annotations
 
@@ -27,25 +27,27 @@
 
 log = structlog.get_logger(__name__)
 
-# A neighbour that was asked for a copy has this long before another one is.
+# Time after which a pull that was not answered is sent to another neighbour.
 _PULL_AGAIN_S: Final = 0.75
-# How long the own watch may take to bring a version that a neighbour has
-# already: asking at once would carry each version once more to everyone.
+# How long a pull is delayed while the own watch may deliver the version that a
+# neighbour already has: immediate pulls would transfer each version to every daemon
+# once more.
 _PULL_DELAY_S: Final = 0.25
-# Versions whose documents are kept to tell those that hold one what has changed.
-_N_KEPT_MAX: Final = 3
-# A delta that saves less than this share of a copy is not worth its making.
+# Number of versions whose documents are kept as bases of deltas.
+_N_RECENT_DOCUMENTS_MAX: Final = 3
+# A delta is sent only if its size is at most this share of that of a full copy.
 _DELTA_MAX_SHARE: Final = 0.5
 
 
 class DocumentExchange:
-    """What this daemon tells its neighbours of the document, and learns from them.
-
-    `offer` takes a document from a neighbour, and `is_watching` says whether the own
-    watch brings new versions. `position` is how far the history of the table is known;
-    with a `schedule`, confirmations that a version was the newest are passed on too.
-    While `is_newest_known` is not set, the newest is one that this daemon can't read,
-    and it confirms nothing, as others may.
+    """Announces, pulls and sends versions of the document among neighbours.
+
+    `offer` processes a document that a neighbour sent, together with the neighbour's
+    VM, and `is_watching` returns whether the own watch delivers new versions.
+    `position` is the newest known position in the history of the table. With a
+    `schedule`, confirmations that a version was the newest are forwarded too. While
+    `is_newest_known` is false, this daemon can't read the newest version and confirms
+    nothing; other daemons may be able to.
     """
 
     def __init__(
@@ -61,46 +63,46 @@
         self._offer = offer
         self._is_watching = is_watching
         self._schedule = schedule
-        self._kept: dict[int, bytes] = {}
-        # The document in force, and by older version what has changed since.
+        self._recent_documents: dict[int, bytes] = {}
+        # The document in force, compressed, and its compressed delta by base version.
         self._packed = b""
         self._packed_deltas: dict[int, bytes] = {}
-        # Neighbours that asked for a version that is not here yet, and what they hold.
-        self._waiting: dict[str, int] = {}
-        self._announced = 0
-        self._asked_vm = ""
-        self._asked_version: int | None = None
-        self._asked_s = 0.0
+        # Neighbours whose pull can't be answered yet, and the versions that they hold.
+        self._pending_pulls: dict[str, int] = {}
+        self._announced_version = 0
+        self._pulled_vm = ""
+        self._pull_base_version: int | None = None
+        self._pulled_s = 0.0
         self._pull_timer: asyncio.TimerHandle | None = None
-        # The newest version heard of, and the neighbours to be asked for it in turn.
-        self._heard = 0
+        # The newest version that neighbours announced, and those to pull it from.
+        self._newest_version = 0
         self._sources: list[str] = []
-        # Versions up to here are not asked for again: their document was no good.
-        self._rejected = 0
+        # Versions up to this one are not pulled again, as their document was rejected.
+        self._rejected_version = 0
         self.position: int | None = None
         self.is_newest_known = True
 
     def start(self) -> None:
-        """Begin to listen to the neighbours."""
-        self._control.neighbour_up_callbacks.append(self._tell)
+        """Register the callbacks of the control plane."""
+        self._control.neighbour_up_callbacks.append(self._send_state)
         self._control.neighbour_down_callbacks.append(self._on_neighbour_down)
         self._control.on_configuration_frame = self._on_frame
 
     def close(self) -> None:
-        """Stop asking for versions."""
+        """Stop pulling versions."""
         if self._pull_timer is not None:
             self._pull_timer.cancel()
 
     def put_in_force(self) -> None:
-        """Take that another version is in force, and pass it on."""
+        """Send the version that was just put in force to neighbours."""
         document = self._following.document
-        self._kept[document.version] = document.data
-        for version in sorted(self._kept)[:-_N_KEPT_MAX]:
-            del self._kept[version]
+        self._recent_documents[document.version] = document.data
+        for version in sorted(self._recent_documents)[:-_N_RECENT_DOCUMENTS_MAX]:
+            del self._recent_documents[version]
         self._packed = b""
         self._packed_deltas.clear()
-        waiting, self._waiting = self._waiting, {}
-        for vm, held_version in waiting.items():
+        pending_pulls, self._pending_pulls = self._pending_pulls, {}
+        for vm, held_version in pending_pulls.items():
             self._answer_pull(vm, held_version)
         self._announce(document.version)
 
@@ -113,21 +115,26 @@
         return max(0, int(boot_ms() - self._schedule.confirmed_ms))
 
     def _announce(self, version: int, source: str = "") -> None:
-        """Tell the neighbours of a version as soon as it is heard of.
+        """Announce a version to the neighbours as soon as it is known to exist.
 
-        They ask for it at once and get it as it arrives: the way through the fleet
-        then takes as long as the sending, not the reading by each daemon on it.
+        They pull it immediately and receive it when it arrives here. Its propagation
+        through the fleet then takes as long as the transfers, without the time that
+        each daemon on the path needs to read it.
         """
-        if version <= self._announced:
+        if version <= self._announced_version:
             return
-        self._announced = version
+        self._announced_version = version
         for vm in self._control.neighbours:
             if vm != source:
                 self._control.send(vm, DocumentHave(version))
 
     def confirm(self, position: int, as_of_ms: float, learnt_from: str = "") -> None:
-        """Take that the version in force was the newest, and pass it on."""
-        self._advance(position)
+        """Record that the version in force was the newest, and notify neighbours.
+
+        `as_of_ms` is the moment of the confirmation on the clock of `boot_ms`, and
+        `learnt_from` the neighbour that sent it, empty for an own read.
+        """
+        self._advance_position(position)
         if learnt_from:
             self.is_newest_known = True
         if self._schedule is None or not self._schedule.confirm(as_of_ms):
@@ -136,163 +143,169 @@
             return
         for vm in self._control.neighbours:
             if vm != learnt_from:
-                self._control.send(vm, self._fresh())
+                self._control.send(vm, self._freshness_frame())
 
-    def _advance(self, position: int) -> None:
+    def _advance_position(self, position: int) -> None:
         self.position = max(self.position or 0, position) or None
 
-    def _fresh(self) -> DocumentFresh:
+    def _freshness_frame(self) -> DocumentFresh:
         version, position = self._following.version, self.position or 0
         return DocumentFresh(version, position, self.age_ms())
 
-    def _tell(self, vm: str) -> None:
-        version = max(self._announced, self._following.version)
+    def _send_state(self, vm: str) -> None:
+        version = max(self._announced_version, self._following.version)
         if version:
             self._control.send(vm, DocumentHave(version))
         if self.age_ms() >= 0:
-            self._control.send(vm, self._fresh())
+            self._control.send(vm, self._freshness_frame())
 
     def _on_neighbour_down(self, vm: str) -> None:
-        """Ask another neighbour for the version that a lost one was asked for."""
-        self._waiting.pop(vm, None)
+        """Repeat a pull at another neighbour if the lost one was to answer it."""
+        self._pending_pulls.pop(vm, None)
         if vm in self._sources:
             self._sources.remove(vm)
-        if vm != self._asked_vm:
+        if vm != self._pulled_vm:
             return
-        self._asked_version = None
+        self._pull_base_version = None
         if self._pull_timer is not None:
             self._pull_timer.cancel()
             self._pull()
 
     def _on_frame(self, vm: str, frame: Any) -> None:
-        """Spread versions among neighbours.
+        """Handle a frame of a neighbour.
 
-        A daemon that the platform turns away, or whose watch hangs, would
-        otherwise route by an old version for as long as that lasts.
+        Without this exchange, a daemon whose requests the platform rejects, or whose
+        watch hangs, would route by an old version for as long as that lasts.
         """
         version = self._following.version
         match frame:
-            case DocumentHave(theirs) if theirs > version:
-                self._hear(vm, theirs)
-            case DocumentHave(theirs) if theirs < version:
-                self._tell(vm)
+            case DocumentHave(peer_version) if peer_version > version:
+                self._on_newer_version(vm, peer_version)
+            case DocumentHave(peer_version) if peer_version < version:
+                self._send_state(vm)
             case DocumentFresh():
-                self._take_fresh(vm, frame)
-            case DocumentPull(theirs):
-                self._answer_pull(vm, theirs)
+                self._handle_freshness(vm, frame)
+            case DocumentPull(peer_version):
+                self._answer_pull(vm, peer_version)
             case DocumentCopy():
-                self._take_copy(vm, frame)
+                self._handle_copy(vm, frame)
             case DocumentDelta():
-                self._take_delta(vm, frame)
+                self._handle_delta(vm, frame)
             case _:
                 pass
 
-    def _take_fresh(self, vm: str, frame: DocumentFresh) -> None:
+    def _handle_freshness(self, vm: str, frame: DocumentFresh) -> None:
         as_of_ms = boot_ms() - frame.age_ms
         if frame.version == self._following.version:
             self.confirm(frame.position, as_of_ms, vm)
         elif frame.version > self._following.version:
-            self._hear(vm, frame.version)
+            self._on_newer_version(vm, frame.version)
 
     def _answer_pull(self, vm: str, held_version: int) -> None:
         if held_version >= self._following.version:
-            self._waiting[vm] = held_version
+            self._pending_pulls[vm] = held_version
             return
         self._control.send(vm, self._update_since(held_version))
 
     def _update_since(self, held_version: int) -> DocumentCopy | DocumentDelta:
-        """Return what a neighbour with some version lacks; packed once for all."""
+        """Return the delta or copy for a neighbour that holds some version.
+
+        Each is compressed once for all neighbours.
+        """
         data = self._following.document.data
         position, age_ms = self.position or 0, self.age_ms()
         self._packed = self._packed or pack(data)
-        if held_version in self._kept:
+        if held_version in self._recent_documents:
             packed = self._packed_deltas.get(held_version)
             if packed is None:
-                packed = pack(make_delta(self._kept[held_version], data))
+                packed = pack(make_delta(self._recent_documents[held_version], data))
                 self._packed_deltas[held_version] = packed
             if len(packed) <= _DELTA_MAX_SHARE * len(self._packed):
                 return DocumentDelta(held_version, packed, position, age_ms)
         return DocumentCopy(self._packed, position, age_ms)
 
-    def _take_copy(self, vm: str, copy: DocumentCopy) -> None:
+    def _handle_copy(self, vm: str, copy: DocumentCopy) -> None:
         data = unpack(copy.packed)
         if data is None:
-            log.warning(Event.FRAME_REJECTED, peer=vm, reason="a damaged document")
+            log.warning(Event.FRAME_REJECTED, peer=vm, reason="damaged document copy")
             return
         if self._following.document and data == self._following.document.data:
             return
-        waiting, self._waiting = self._waiting, {}
-        for waiting_vm in waiting:
-            self._control.send(waiting_vm, copy)
-        self._take_document(vm, data, copy)
+        pending_pulls, self._pending_pulls = self._pending_pulls, {}
+        for pulling_vm in pending_pulls:
+            self._control.send(pulling_vm, copy)
+        self._apply_document(vm, data, copy)
 
-    def _take_delta(self, vm: str, delta: DocumentDelta) -> None:
+    def _handle_delta(self, vm: str, delta: DocumentDelta) -> None:
         document = self._following.document
         if document is None or delta.base_version != document.version:
             return
         changes = unpack(delta.packed)
         data = None if changes is None else apply_delta(document.data, changes)
         if data is None:
-            log.warning(Event.FRAME_REJECTED, peer=vm, reason="a damaged delta")
+            log.warning(Event.FRAME_REJECTED, peer=vm, reason="damaged document delta")
             self._control.send(vm, DocumentPull(0))
             return
-        for waiting_vm, held_version in list(self._waiting.items()):
+        for pulling_vm, held_version in list(self._pending_pulls.items()):
             if held_version == delta.base_version:
-                del self._waiting[waiting_vm]
-                self._control.send(waiting_vm, delta)
-        self._take_document(vm, data, delta)
+                del self._pending_pulls[pulling_vm]
+                self._control.send(pulling_vm, delta)
+        self._apply_document(vm, data, delta)
 
-    def _take_document(
+    def _apply_document(
         self, vm: str, data: bytes, frame: DocumentCopy | DocumentDelta
     ) -> None:
         offer = self._offer(data, vm)
         if offer in (Offer.REJECTED, Offer.REJECTED_BEFORE):
-            self._rejected = self._heard
+            self._rejected_version = self._newest_version
         if offer is not Offer.IN_FORCE:
             return
-        # The neighbour has seen no newer one up to there; watched from an
-        # earlier position, the source would send this version once more.
-        self._advance(frame.position)
+        # The neighbour has seen no newer version up to its position; a watch from an
+        # earlier position would make the source send this version once more.
+        self._advance_position(frame.position)
         if frame.age_ms >= 0:
             self.confirm(frame.position, boot_ms() - frame.age_ms, vm)
         if self._pull_timer is not None:
             self._pull_timer.cancel()
             self._pull_timer = None
-        if self._heard > self._following.version:
-            self._pull_soon()
+        if self._newest_version > self._following.version:
+            self._schedule_pull()
 
-    def _hear(self, vm: str, version: int) -> None:
-        """Take that a neighbour has a newer version, or will, and ask for it."""
-        if version <= self._rejected:
+    def _on_newer_version(self, vm: str, version: int) -> None:
+        """Pull a newer version that a neighbour has, or is about to receive."""
+        if version <= self._rejected_version:
             return
         self._announce(version, vm)
-        if version > self._heard:
-            self._heard = version
+        if version > self._newest_version:
+            self._newest_version = version
             self._sources.clear()
-        if version == self._heard and vm not in self._sources:
+        if version == self._newest_version and vm not in self._sources:
             self._sources.append(vm)
-        self._pull_soon()
+        self._schedule_pull()
 
-    def _pull_soon(self) -> None:
+    def _schedule_pull(self) -> None:
         if self._pull_timer is not None:
             return
         loop = asyncio.get_running_loop()
         delay_s = _PULL_DELAY_S if self._is_watching() else 0.0
-        if self._asked_version == self._following.version:
-            delay_s = max(delay_s, self._asked_s + _PULL_AGAIN_S - loop.time())
+        if self._pull_base_version == self._following.version:
+            delay_s = max(delay_s, self._pulled_s + _PULL_AGAIN_S - loop.time())
         self._pull_timer = loop.call_later(delay_s, self._pull)
 
     def _pull(self) -> None:
-        """Ask the next neighbour, until the version has come."""
+        """Pull from the next neighbour, and retry until the version has arrived."""
         self._pull_timer = None
         version = self._following.version
-        if self._heard <= max(version, self._rejected) or not self._sources:
+        if (
+            self._newest_version <= max(version, self._rejected_version)
+            or not self._sources
+        ):
             return
         vm = self._sources.pop(0)
         self._sources.append(vm)
         loop = asyncio.get_running_loop()
-        self._asked_vm = vm
-        self._asked_version, self._asked_s = version, loop.time()
+        self._pulled_vm = vm
+        self._pull_base_version, self._pulled_s = version, loop.time()
         self._control.send(vm, DocumentPull(version))
         self._pull_timer = loop.call_later(_PULL_AGAIN_S, self._pull)
 
--- a/packages/pepperstaird/pepperstaird/follower.py
+++ b/packages/pepperstaird/pepperstaird/follower.py
@@ -1,4 +1,4 @@
-"""Follows a configuration document that operators keep in a table elsewhere."""
+"""Follows a configuration document that operators keep in an external table."""
 
 from __future__ import annotations
 
@@ -31,46 +31,48 @@
 
 log = structlog.get_logger(__name__)
 
-# A watch that was lost in silence is renewed after this at the latest. The
-# waits are spread, so that of a dozen daemons one renews its watch about every
-# second and tells the others.
-_WAIT_MAX_MS: Final = 10_000
-_WAIT_MIN_SHARE: Final = 0.6
-# The first watch after a reading may be much shorter: daemons that were killed
-# together read together. In step, all of them would hang together on a store that
-# turned silent just then, and none would learn of a new version for the whole wait.
-# Of six, one renews its watch within 2.3 s in the mean.
-_FIRST_WAIT_MIN_SHARE: Final = 0.1
-# After a failure: first soon, then longer, so that a store that comes back is
-# not met by all daemons at once; with jitter.
+# A watch whose answer was lost silently is renewed after this at the latest. The
+# durations are randomized, so that of a dozen daemons one renews its watch about
+# every second and notifies the others.
+_WATCH_MAX_MS: Final = 10_000
+_WATCH_MIN_SHARE: Final = 0.6
+# The first watch after a read may be much shorter, as daemons that were killed
+# together read together. With watches of equal length, all of them would hang on a
+# store that stopped answering just then, and none would receive a new version for
+# the whole watch. Of six daemons, one renews its watch within 2.3 s on average.
+_FIRST_WATCH_MIN_SHARE: Final = 0.1
+# Exponential backoff with jitter after a failure, so that not all daemons query a
+# recovering store at once.
 _BACKOFF_MIN_S: Final = 0.1
 _BACKOFF_MAX_S: Final = 1.0
-# Pause after each answer: of versions that come in quick succession only the
-# newest counts, and each read of each daemon costs the store.
+# Pause after each answer: of versions in quick succession only the newest matters,
+# and each read of each daemon adds load to the store.
 _SETTLE_S: Final = 0.4
-# On a slow link the pause is twice what the answer took of it, so that versions in
-# quick succession leave two thirds of the link to calls; neighbours tell of them
-# meanwhile, packed. Bounded, as a neighbour may be cut off.
-_SETTLE_LINK_SHARES: Final = 2.0
+# On a slow link the pause is twice the transfer time of the answer, so that versions
+# in quick succession leave two thirds of the link to calls. Meanwhile neighbours send
+# them in compressed form. The pause is bounded, as a neighbour may be cut off.
+_PAUSE_TRANSFER_FACTOR: Final = 2.0
 _SETTLE_MAX_S: Final = 1.5
-# Where the document takes the VM's link longer than this, the daemon holds no watch:
-# it looks now and then, and otherwise takes the packed copies of its neighbours. A
-# watch would bring the whole document with each version, in the way of all calls.
-_WATCHED_MAX_S: Final = 0.2
+# If the transfer of the document takes longer than this on the VM's link, the daemon
+# does not watch continuously: it polls occasionally and otherwise relies on the
+# compressed copies of its neighbours. A watch would transfer the whole document with
+# each version and delay all calls.
+_WATCHED_TRANSFER_MAX_S: Final = 0.2
 _LOOK_STEP_S: Final = 0.5
 _EXPIRED: Final = ErrorKind.WATCH_EXPIRED
-_BAD: Final = (Offer.REJECTED, Offer.REJECTED_BEFORE)
+_REJECTIONS: Final = (Offer.REJECTED, Offer.REJECTED_BEFORE)
 
 
 class ConfigurationFollower:
     """Keeps the newest document in force, from the table or from neighbours.
 
     `key` names the row of the table that holds the document. `on_document` is
-    called after each version that was put in force, which `document` then is.
-    `carry_s` tells for how long the VM's link carries so many bytes of a document,
-    `is_source` whether others may depend on this daemon's watch, or it on its own.
-    With a `schedule` the fleet shares its reads; `place` is then this daemon's place
-    in the order of readers. Without one, each daemon watches the table.
+    called after each version that was put in force; `document` is then that version.
+    `carry_s` returns the seconds that the VM's link takes to transfer a number of
+    bytes of a document. `is_source` returns whether this daemon has to watch the
+    table regardless of its link, as others or the daemon itself may depend on that.
+    With a `schedule` the fleet shares its reads; `place` then returns this daemon's
+    rank in the order of readers. Without one, each daemon watches the table.
     """
 
     def __init__(
@@ -101,8 +103,8 @@
         self._decisions = decisions
         self._rng = rng
         self._snapshot: Snapshot | None = None
-        self._watching: asyncio.Task[None] | None = None
-        self._is_table_lost = False
+        self._watch_task: asyncio.Task[None] | None = None
+        self._is_table_unavailable = False
         self._learnt_from = ""
         self._exchange = DocumentExchange(
             control, self._following, self._offer, self._is_watching, schedule
@@ -116,7 +118,7 @@
 
     @property
     def document(self) -> FollowedDocument | None:
-        """Return the document in force."""
+        """Return the document in force, None if there is none."""
         return self._following.document
 
     @property
@@ -126,32 +128,32 @@
 
     @property
     def reached_by(self) -> str:
-        """Return who told the version in force: the platform or a neighbour."""
+        """Return the origin of the version in force: the platform or a neighbour."""
         return self._learnt_from
 
     def start(self) -> None:
-        """Begin to follow the table and to listen to the neighbours."""
+        """Start to follow the table and to process frames of the neighbours."""
         self._exchange.start()
-        self._watching = asyncio.get_running_loop().create_task(self._watch())
+        self._watch_task = asyncio.get_running_loop().create_task(self._watch())
 
     def close(self) -> None:
         """Stop following."""
         self._exchange.close()
-        if self._watching is not None:
-            self._watching.cancel()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
 
     def members_changed(self) -> None:
-        """Do nothing: versions go to the neighbours, whoever they are."""
+        """Do nothing: versions are sent to the current neighbours in any case."""
 
     def catch_up(self) -> None:
-        """Read the table anew at once.
+        """Read the table again without delay.
 
         After a pause of this process the answer to its watch may be lost, and
-        the routes of a minute ago would stay in force until the next one.
+        routes that are a minute old would stay in force until the next answer.
         """
-        if self._watching is not None:
-            self._watching.cancel()
-        self._watching = asyncio.get_running_loop().create_task(self._watch(True))
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+        self._watch_task = asyncio.get_running_loop().create_task(self._watch(True))
 
     def versions(self) -> dict[str, int]:
         """Return the version in force by customer."""
@@ -177,12 +179,12 @@
         }
 
     def rejected(self) -> dict[str, Any]:
-        """Return why the last document that was rejected was."""
+        """Return the cause of the last rejection, an empty dict if there was none."""
         faults = [str(fault) for fault in self._following.faults]
         return {"document": {"cause": "; ".join(faults)}} if faults else {}
 
     async def _watch(self, is_due: bool = False) -> None:
-        """Read and watch the table for ever; at once if that `is_due`."""
+        """Read and watch the table until cancelled; start without delay if `is_due`."""
         exchange = self._exchange
         exchange.position = None
         is_first = True
@@ -192,15 +194,15 @@
                 await self._until_due()
             is_due = False
             position = exchange.position
-            read = await self._next(position, is_first)
+            read = await self._read_or_watch(position, is_first)
             if read.is_ok():
-                self._note_table(None)
-                self._take_rows(read.unwrap())
+                self._log_table_state(None)
+                self._apply_rows(read.unwrap())
                 is_first = position is None
                 exchange.confirm(read.unwrap().position, boot_ms())
                 backoff_s = _BACKOFF_MIN_S
                 if read.unwrap().rows:
-                    await asyncio.sleep(self._settle_s(read.unwrap()))
+                    await asyncio.sleep(self._pause_after_answer_s(read.unwrap()))
                 continue
             failure = read.unwrap_err()
             exchange.position = None
@@ -208,7 +210,7 @@
                 self.schedule.fail(boot_ms())
             if failure.kind is _EXPIRED:
                 continue
-            self._note_table(failure)
+            self._log_table_state(failure)
             await asyncio.sleep(backoff_s * self._rng.uniform(0.5, 1.0))
             backoff_s = min(self._backoff_max_s(), 2 * backoff_s)
 
@@ -219,7 +221,7 @@
         return _BACKOFF_MAX_S * self.schedule.backoff_factor(self._place())
 
     async def _until_due(self) -> None:
-        """Return when this daemon is to read, as the fleet shares its reads."""
+        """Wait until this daemon is due to read, if the fleet shares its reads."""
         if self.schedule is None:
             return
         while self._control.neighbours or not self.schedule.is_confirmed:
@@ -230,29 +232,31 @@
             await asyncio.sleep(left_ms / 1000)
 
     def _is_watching(self) -> bool:
-        """Return whether the own watch is about to bring new versions."""
-        if self.document is None or not self._holds_watch():
+        """Return whether the own watch is expected to deliver new versions."""
+        if self.document is None or not self._watches_continuously():
             return False
         if self.schedule is None:
             return True
         return self.schedule.is_watcher(self._place(), boot_ms())
 
-    async def _next(
+    async def _read_or_watch(
         self, position: int | None, is_first: bool
     ) -> Result[WatchedRows, Failure]:
         if position is None:
             return await self._table.read()
         if self.schedule is not None:
-            return await self._next_shared(position)
-        least = _FIRST_WAIT_MIN_SHARE if is_first else _WAIT_MIN_SHARE
-        wait_ms = int(_WAIT_MAX_MS * self._rng.uniform(least, 1.0))
-        if not self._holds_watch():
-            wait_ms = await self._rest_unless_source(wait_ms)
+            return await self._read_or_watch_shared(position)
+        min_share = _FIRST_WATCH_MIN_SHARE if is_first else _WATCH_MIN_SHARE
+        wait_ms = int(_WATCH_MAX_MS * self._rng.uniform(min_share, 1.0))
+        if not self._watches_continuously():
+            wait_ms = await self._pause_unless_watching(wait_ms)
         known = max(position, self._exchange.position or 0)
         return await self._table.wait(known, wait_ms)
 
-    async def _next_shared(self, position: int) -> Result[WatchedRows, Failure]:
-        """Watch the table if that is this daemon's part, else look at it once."""
+    async def _read_or_watch_shared(
+        self, position: int
+    ) -> Result[WatchedRows, Failure]:
+        """Watch the table if this daemon is a watcher or alone, else poll it once."""
         place = self._place()
         is_alone = not self._control.neighbours
         wait_ms = 0
@@ -261,54 +265,58 @@
             wait_ms = self.schedule.watch_ms(place, now_ms)
         return await self._table.wait(position, wait_ms)
 
-    def _holds_watch(self) -> bool:
-        """Return whether the table is watched all the time.
+    def _watches_continuously(self) -> bool:
+        """Return whether this daemon watches the table continuously.
 
-        Daemons on fast links are, and one of each availability zone; between them
-        and all the others, who look at different moments, a version is found at once.
+        Daemons on fast links do, and so does one of each availability zone. As all
+        others poll at different moments, the fleet detects a version immediately.
         """
         if self.document is None or self._is_source():
             return True
-        return self._carry_s(len(self.document.data)) <= _WATCHED_MAX_S
+        return self._carry_s(len(self.document.data)) <= _WATCHED_TRANSFER_MAX_S
+
+    async def _pause_unless_watching(self, pause_ms: int) -> int:
+        """Pause, and return the duration of the next watch in ms, 0 for a poll.
 
-    async def _rest_unless_source(self, rest_ms: int) -> int:
-        """Leave the table alone for a while, and return how long to watch it then."""
+        The pause ends early if this daemon has to watch continuously.
+        """
         loop = asyncio.get_running_loop()
-        ends_s = loop.time() + rest_ms / 1000
+        ends_s = loop.time() + pause_ms / 1000
         while loop.time() < ends_s:
-            await asyncio.sleep(min(_LOOK_STEP_S, rest_ms / 1000))
-            if self._holds_watch():
-                return rest_ms
+            await asyncio.sleep(min(_LOOK_STEP_S, pause_ms / 1000))
+            if self._watches_continuously():
+                return pause_ms
         return 0
 
-    def _settle_s(self, rows: WatchedRows) -> float:
-        """Return how long to leave the table alone after an answer."""
+    def _pause_after_answer_s(self, rows: WatchedRows) -> float:
+        """Return the pause before the next read after an answer, in seconds."""
         n_bytes = sum(len(row.value or b"") for row in rows.rows)
-        taken_s = _SETTLE_LINK_SHARES * self._carry_s(n_bytes)
-        return max(_SETTLE_S, min(_SETTLE_MAX_S, taken_s))
+        transfer_pause_s = _PAUSE_TRANSFER_FACTOR * self._carry_s(n_bytes)
+        return max(_SETTLE_S, min(_SETTLE_MAX_S, transfer_pause_s))
 
-    def _note_table(self, failure: Failure | None) -> None:
-        """Log once when the table is lost and once when it is back."""
-        is_lost = failure is not None
-        if is_lost == self._is_table_lost:
+    def _log_table_state(self, failure: Failure | None) -> None:
+        """Log the start and the end of an outage of the table, once each."""
+        is_unavailable = failure is not None
+        if is_unavailable == self._is_table_unavailable:
             return
-        self._is_table_lost = is_lost
-        if is_lost:
+        self._is_table_unavailable = is_unavailable
+        if is_unavailable:
             log.warning(Event.PLATFORM_UNAVAILABLE, reason=failure.text)
         else:
             log.info(Event.PLATFORM_RECOVERED, version=self._following.version)
 
-    def _take_rows(self, rows: WatchedRows) -> None:
-        # A removed row takes nothing out of force: the operators' routes would
-        # all be gone at once, and callers told that there is none. An answer may
-        # hold several versions, of which only the last good one still counts.
-        found = [row.value for row in rows.rows if row.key == self._key]
-        values = [value for value in reversed(found) if value is not None]
+    def _apply_rows(self, rows: WatchedRows) -> None:
+        # A removed row leaves the version in force: otherwise all routes of the
+        # operators would disappear at once, and callers would be answered that there
+        # is none. An answer may hold several versions, of which only the last valid
+        # one matters.
+        row_values = [row.value for row in rows.rows if row.key == self._key]
+        values = [value for value in reversed(row_values) if value is not None]
         for index, value in enumerate(values):
-            is_good = self._offer(value, "platform") not in _BAD
+            is_accepted = self._offer(value, "platform") not in _REJECTIONS
             if index == 0:
-                self._exchange.is_newest_known = is_good
-            if is_good:
+                self._exchange.is_newest_known = is_accepted
+            if is_accepted:
                 return
 
     def _offer(self, data: bytes, learnt_from: str) -> Offer:
--- a/packages/pepperstaird/pepperstaird/member_rows.py
+++ b/packages/pepperstaird/pepperstaird/member_rows.py
@@ -26,7 +26,7 @@
 from pepperstair_platform import Row, RowTable
 
 from .clock import wall_ms
-from .row_calls import delete_some
+from .row_calls import delete_batch
 
 log = structlog.get_logger(__name__)
 
@@ -52,12 +52,14 @@
         control: ControlPlane,
         directory: MemberDirectory,
         rng: random.Random,
-        join_max_s: float | None = None,
+        first_write_delay_max_s: float | None = None,
         is_first_start: bool = False,
     ) -> None:
         self._is_first_start = is_first_start
         self._is_written = False
-        self._join_max_s = _JOIN_MAX_S if join_max_s is None else join_max_s
+        self._first_write_delay_max_s = (
+            _JOIN_MAX_S if first_write_delay_max_s is None else first_write_delay_max_s
+        )
         self._platform = platform
         self._control = control
         self._directory = directory
@@ -77,15 +79,15 @@
     async def remove_own(self) -> None:
         """Delete the own row, as this daemon leaves; failing that, others will."""
         self.close()
-        await self._platform.delete_row(_key(self._directory.own().vm))
+        await self._platform.delete_row(_row_key(self._directory.own().vm))
 
     async def _run(self) -> None:
         if not self._is_first_start:
             # The rows of before tell where the others are; without them callers
             # would find no target for the time of the spread.
-            await self._find_others()
+            await self._discover_members()
         # A herd that starts together would write all rows at once.
-        await asyncio.sleep(self._rng.uniform(0, self._join_max_s))
+        await asyncio.sleep(self._rng.uniform(0, self._first_write_delay_max_s))
         retry_s = _RETRY_MIN_S
         while True:
             is_done = self._is_written or await self._write_own()
@@ -101,7 +103,7 @@
             await asyncio.sleep(retry_s * self._rng.uniform(0.5, 1.0))
             retry_s = min(_RETRY_MAX_S, 2 * retry_s)
 
-    async def _find_others(self) -> None:
+    async def _discover_members(self) -> None:
         rows = await self._read_rows()
         own = self._directory.own()
         # A restarted daemon is still to be found where it was.
@@ -116,7 +118,7 @@
     async def _write_own(self) -> bool:
         own = self._directory.own()
         value = {"peer_address": own.peer_address, "written_ms": wall_ms()}
-        row = Row(_key(own.vm), json.dumps(value, sort_keys=True))
+        row = Row(_row_key(own.vm), json.dumps(value, sort_keys=True))
         written = await self._platform.commit((), (row,))
         self._is_written = written.is_ok()
         return self._is_written
@@ -125,8 +127,8 @@
         rows = await self._read_rows()
         if rows is None:
             return False
-        dead = list(self._sweep.iter_dead(self._directory, rows))
-        await delete_some(self._platform, map(_key, dead))
+        stale_vms = list(self._sweep.iter_dead(self._directory, rows))
+        await delete_batch(self._platform, map(_row_key, stale_vms))
         return True
 
     async def _read_rows(self) -> list[MemberRow] | None:
@@ -139,7 +141,7 @@
         return rows
 
 
-def _key(vm: str) -> str:
+def _row_key(vm: str) -> str:
     return f"{_PREFIX}{vm}"
 
 
--- a/packages/pepperstaird/pepperstaird/product.py
+++ b/packages/pepperstaird/pepperstaird/product.py
@@ -1,4 +1,4 @@
-"""The edges of a daemon that uses pepperstair's own interfaces throughout."""
+"""The dependencies of a daemon that uses pepperstair's own interfaces throughout."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def product_edges() -> Edges:
-    """Return the edges that the settings of the product describe."""
+    """Return the factories for a daemon with pepperstair's own settings file."""
     return Edges(
         make_platform=lambda settings: Platform(settings.platform),
         make_configuration=_make_configuration,
@@ -29,7 +29,7 @@
             daemon.platform, daemon.control, daemon.directory, daemon.rng
         ),
         add_operations=_add_operations,
-        make_budget_of=_one_budget,
+        make_budget_of=_make_budget_lookup,
         make_row_table=lambda daemon: daemon.platform,
     )
 
@@ -50,8 +50,8 @@
     add_configuration_operations(server, daemon)
 
 
-def _one_budget(daemon: Daemon) -> Callable[[str], RetryBudget]:
-    """Return one budget for all services of a daemon."""
+def _make_budget_lookup(daemon: Daemon) -> Callable[[str], RetryBudget]:
+    """Return a function that yields the same retry budget for every service."""
     budget = TokenRetryBudget()
     return lambda service: budget
 
--- a/packages/pepperstaird/pepperstaird/quarantine_rows.py
+++ b/packages/pepperstaird/pepperstaird/quarantine_rows.py
@@ -15,7 +15,7 @@
 from pepperstair_core.json_text import parse_json
 from pepperstair_platform import Row, RowTable
 
-from .row_calls import call_until_answered, delete_some
+from .row_calls import call_until_answered, delete_batch
 
 log = structlog.get_logger(__name__)
 
@@ -34,8 +34,8 @@
         self._table = table
         self._wall_ms = wall_ms
         self._is_first_start = is_first_start
-        self._writing: dict[bytes, asyncio.Task[None]] = {}
-        self._reading: asyncio.Task[None] | None = None
+        self._write_tasks: dict[bytes, asyncio.Task[None]] = {}
+        self._read_task: asyncio.Task[None] | None = None
         self._on_read: Callable[[Iterable[CrashRecord]], None] = lambda kept: None
 
     def start(self, on_read: Callable[[Iterable[CrashRecord]], None]) -> None:
@@ -46,20 +46,20 @@
 
     def read(self) -> None:
         """Read what any daemon has kept, unless that is under way."""
-        if self._reading is None or self._reading.done():
-            self._reading = _run(self._read())
+        if self._read_task is None or self._read_task.done():
+            self._read_task = _create_task(self._read())
 
     def save(self, record: CrashRecord) -> None:
         """Write the row of a quarantined request, in place of an earlier one."""
         fingerprint = record.fingerprint
-        earlier = self._writing.pop(fingerprint, None)
+        earlier = self._write_tasks.pop(fingerprint, None)
         if earlier is not None:
             earlier.cancel()
-        self._writing[fingerprint] = _run(self._write(record))
+        self._write_tasks[fingerprint] = _create_task(self._write(record))
 
     def close(self) -> None:
         """Stop reading and writing."""
-        for task in (self._reading, *self._writing.values()):
+        for task in (self._read_task, *self._write_tasks.values()):
             if task is not None:
                 task.cancel()
 
@@ -73,7 +73,7 @@
         ]
         self._on_read(found for _, found, noted_ms in kept if noted_ms >= oldest_ms)
         old = (row.key for row, _, noted_ms in kept if noted_ms < oldest_ms)
-        await delete_some(self._table, old)
+        await delete_batch(self._table, old)
 
     async def _write(self, record: CrashRecord) -> None:
         value = json.dumps([record.crash_ids, self._wall_ms()])
@@ -81,7 +81,7 @@
         await call_until_answered(lambda: self._table.commit((), (row,)))
 
 
-def _run(coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+def _create_task(coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
     return asyncio.get_running_loop().create_task(coroutine)
 
 
--- a/packages/pepperstaird/pepperstaird/reports.py
+++ b/packages/pepperstaird/pepperstaird/reports.py
@@ -1,4 +1,4 @@
-"""The operations by which a daemon reports on itself: state, decisions and burn."""
+"""Operations that report a daemon's state, decisions and burn-rate counts."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def add_reports(server: OperatorServer, daemon: Daemon) -> None:
-    """Serve the operations that only tell what a daemon holds."""
+    """Register the read-only operations of a daemon."""
 
     async def status(request: OperatorRequest) -> OperatorReply:
         return json_reply(status_content(daemon))
@@ -47,7 +47,7 @@
         return json_reply({"version": snapshot.head.version, "intent": intent})
 
     async def burn(request: OperatorRequest) -> OperatorReply:
-        return await burn_counts(daemon)
+        return await burn_reply(daemon)
 
     server.add("GET", "/v1/status", status)
     server.add("GET", "/v1/ready", ready)
@@ -56,7 +56,7 @@
 
 
 def status_content(daemon: Daemon) -> dict[str, Any]:
-    """Return what `GET /v1/status` tells."""
+    """Return the content of `GET /v1/status`."""
     return {
         "vm": daemon.settings.vm.name,
         "availability_zone": daemon.settings.vm.availability_zone,
@@ -83,7 +83,10 @@
 
 
 def add_decisions(server: OperatorServer, daemon: Daemon) -> None:
-    """Serve `explain` of a daemon that has no configuration of its own to explain."""
+    """Register `explain` for a daemon that explains decisions only.
+
+    It has no configuration of its own to explain.
+    """
 
     async def explain(request: OperatorRequest) -> OperatorReply:
         return explain_decisions(daemon, request)
@@ -92,27 +95,30 @@
 
 
 def explain_decisions(daemon: Daemon, request: OperatorRequest) -> OperatorReply:
-    """Answer with the decisions about a subject, or all, the oldest first."""
+    """Answer with the decisions about a subject, or with all, oldest first."""
     found = daemon.decisions.find(request.query.get("subject", ""))
-    return json_reply({"decisions": [_decision_table(each) for each in found]})
+    return json_reply({"decisions": [_decision_content(each) for each in found]})
 
 
 def record_refusal(daemon: Daemon, customer: str, failure: Failure) -> None:
-    """Keep why a change was not accepted, for `explain`."""
+    """Record why a change was not accepted, for `explain`."""
     is_conflict = failure.kind is ErrorKind.CONFLICT
     kind = DecisionKind.CONFLICT if is_conflict else DecisionKind.REFUSED
     daemon.decisions.add(Decision(wall_ms(), kind, customer, failure.text))
 
 
-async def burn_counts(daemon: Daemon) -> OperatorReply:
-    """Answer with what this daemon counted, and each customer's objectives.
+async def burn_reply(daemon: Daemon) -> OperatorReply:
+    """Answer with this daemon's counts for burn rates and each customer's objectives.
 
-    The loop is left after each customer: all at once would hold up every call.
+    The coroutine yields to the event loop after each customer, as counting all
+    customers at once would delay every call.
     """
-    held = (daemon.configuration.get(name) for name in daemon.configuration.versions())
+    snapshots = (
+        daemon.configuration.get(name) for name in daemon.configuration.versions()
+    )
     objectives = {
         snapshot.head.customer: (snapshot.head.version, snapshot.intent.objectives)
-        for snapshot in held
+        for snapshot in snapshots
     }
     now_ms = monotonic_ms()
     customers = []
@@ -123,7 +129,7 @@
     return json_reply({"vm": vm, "lived_ms": lived_ms, "customers": customers})
 
 
-def _decision_table(decision: Decision) -> dict[str, Any]:
+def _decision_content(decision: Decision) -> dict[str, Any]:
     return {
         "at_ms": decision.at_ms,
         "kind": decision.kind.value,
@@ -136,7 +142,7 @@
 __all__ = [
     "add_decisions",
     "add_reports",
-    "burn_counts",
+    "burn_reply",
     "explain_decisions",
     "record_refusal",
     "status_content",
--- a/packages/pepperstaird/pepperstaird/row_calls.py
+++ b/packages/pepperstaird/pepperstaird/row_calls.py
@@ -20,7 +20,7 @@
 _RETRY_MIN_S: Final = 0.1
 _RETRY_MAX_S: Final = 2.0
 # What one daemon deletes at a time; the others do their part.
-_N_DELETED_MAX: Final = 10
+_DELETE_BATCH_MAX: Final = 10
 
 
 async def call_until_answered(call: Callable[[], Awaitable[Result[T, Failure]]]) -> T:
@@ -37,10 +37,10 @@
         retry_s = min(_RETRY_MAX_S, 2 * retry_s)
 
 
-async def delete_some(table: RowTable, keys: Iterable[str]) -> None:
+async def delete_batch(table: RowTable, keys: Iterable[str]) -> None:
     """Delete the first few of some rows that nobody needs any more."""
-    for key in itertools.islice(keys, _N_DELETED_MAX):
+    for key in itertools.islice(keys, _DELETE_BATCH_MAX):
         await table.delete_row(key)
 
 
-__all__ = ["call_until_answered", "delete_some"]
+__all__ = ["call_until_answered", "delete_batch"]
--- a/tests/test_departure_rows.py
+++ b/tests/test_departure_rows.py
@@ -12,7 +12,7 @@
 from pepperstair_platform import Row
 from pepperstair_targets import Announcement, OrderedAnnouncements, TargetRegistry
 from pepperstaird import departure_rows
-from pepperstaird.departure_rows import KEPT_MS, DepartureRows
+from pepperstaird.departure_rows import RETENTION_MS, DepartureRows
 
 WALL_MS = 10_000_000
 SERVING, DRAINING = TargetState.SERVING, TargetState.DRAINING
@@ -144,7 +144,7 @@
 
     async def scenario() -> None:
         table = FakeTable()
-        old = [["i-1", 0, 9, WALL_MS - KEPT_MS - 1]]
+        old = [["i-1", 0, 9, WALL_MS - RETENTION_MS - 1]]
         for vm, text in (("vm-1", json.dumps(old)), ("vm-2", "not JSON")):
             table.rows[f"departure/{vm}"] = Row(f"departure/{vm}", text)
         process = Process(table)
