--- a/packages/pepperstaird/pepperstaird/crash_reports.py
+++ b/packages/pepperstaird/pepperstaird/crash_reports.py
@@ -1,4 +1,4 @@
-"""What this daemon tells of crashed targets, to its neighbours and to the platform."""
+"""Distribution of crash records to the neighbours and to the platform."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 log = structlog.get_logger(__name__)
 
 _N_RECORDS_PER_FRAME_MAX: Final = 64
-# News of this long goes out together: a crash is followed by as many answers that
-# clear what ran beside its cause.
+# Records of this period are sent together: after a crash, each concurrent request
+# that gets an answer yields one more record, which clears it.
 _BATCH_DELAY_S: Final = 0.05
 
 
 class CrashReports:
-    """Spreads records of crashes over the fleet, from neighbour to neighbour.
+    """Distributes crash records through the fleet, from neighbour to neighbour.
 
-    Each daemon passes on what is new to it, and tells a new neighbour all it knows.
-    A request that is quarantined is kept in the platform's table too: after a kill of
-    all daemons nobody else would know.
+    Each daemon forwards records that are new to it, and sends a new neighbour all
+    open ones. A quarantined request is persisted on the platform too, as the record
+    would be lost if all daemons were killed.
     """
 
     def __init__(
@@ -49,24 +49,28 @@
         self._decisions = decisions
         self._now_ms = now_ms
         self._crash_numbers = itertools.count(1)
-        # What is to be told, and by which neighbour it came, if by a single one.
+        # Fingerprints of records to be sent, and the neighbour that sent the record,
+        # empty for this daemon or several neighbours.
         self._pending: dict[bytes, str] = {}
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to listen to the neighbours, and read what the platform keeps."""
+        """Register the callbacks of the control plane and read the platform's rows."""
         self._control.on_crash_records = self._handle_frame
         self._control.neighbour_up_callbacks.append(self._send_open_records)
         self._rows.start(self._restore)
 
     def close(self) -> None:
-        """Stop telling, reading and writing."""
+        """Stop sending records, and reading and writing rows."""
         if self._timer is not None:
             self._timer.cancel()
         self._rows.close()
 
     def report_crash(self, target: str, running: tuple[bytes, ...]) -> None:
-        """Take that a target of this VM has ended, and what it was running."""
+        """Record the crash of a target of this VM.
+
+        `running` holds the fingerprints of the requests that it was running.
+        """
         identity = self._identity
         crash_id = f"{identity.vm}/{identity.start_id}/{next(self._crash_numbers)}"
         charged = self._quarantine.record_crash(running, crash_id, self._now_ms())
@@ -82,11 +86,11 @@
         for record in quarantined:
             self._report_quarantined(record.fingerprint)
         if not quarantined:
-            # Neighbours can't tell what is known on the other side of a partition.
+            # Neighbours don't have the records of the other side of a partition.
             self._rows.read()
 
     def report_cleared(self, cleared: CrashRecord) -> None:
-        """Take that a suspected request was answered by a target of this VM."""
+        """Distribute that a target of this VM has answered a suspected request."""
         log.info(Event.REQUEST_CLEARED, fingerprint=cleared.fingerprint.hex())
         self._queue_records((cleared,))
 
@@ -97,7 +101,7 @@
         self._queue_records(self._merge(kept))
 
     def _merge(self, reported: Iterable[CrashRecord]) -> Iterable[CrashRecord]:
-        """Yield what was news."""
+        """Merge records and yield those that were new."""
         for record in reported:
             was_quarantined = self._is_quarantined(record)
             if not self._quarantine.merge(record, self._now_ms()):
@@ -111,10 +115,10 @@
         return standing is Standing.QUARANTINED
 
     def _report_quarantined(self, quarantined: bytes) -> None:
-        """Say that a request is quarantined; keep it where a target here has crashed.
+        """Log a quarantined request; save its row if a target of this VM has crashed.
 
-        Crashes that happen together are added up elsewhere than where they were seen,
-        so that any of the daemons that saw one keeps the row.
+        If crashes coincide, their sum may first reach the threshold on a daemon that
+        detected none of them, so each daemon that detected one saves the row.
         """
         record = self._quarantine.get(quarantined)
         own = f"{self._identity.vm}/{self._identity.start_id}/"
@@ -136,14 +140,14 @@
         )
 
     def _send_open_records(self, vm: str) -> None:
-        """Tell a new neighbour what is suspected; what was cleared it need not know."""
+        """Send a new neighbour the open records; it does not need cleared ones."""
         records = self._quarantine.records()
         self._send_records(vm, (found for found in records if found.is_open))
 
     def _queue_records(self, records: Iterable[CrashRecord], sender: str = "") -> None:
         for record in records:
-            known = self._pending.setdefault(record.fingerprint, sender)
-            if known != sender:
+            pending_sender = self._pending.setdefault(record.fingerprint, sender)
+            if pending_sender != sender:
                 self._pending[record.fingerprint] = ""
         if self._pending and self._timer is None:
             loop = asyncio.get_running_loop()
@@ -152,18 +156,18 @@
     def _flush(self) -> None:
         self._timer = None
         pending, self._pending = self._pending, {}
-        # One may have made room for others meanwhile.
-        known = [found for found in pending if found in self._quarantine]
-        reported = [self._quarantine.get(found) for found in known]
+        # A record may have been evicted meanwhile.
+        tracked = [found for found in pending if found in self._quarantine]
+        records = [self._quarantine.get(found) for found in tracked]
         for vm in self._control.neighbours:
             self._send_records(
-                vm, (item for item in reported if pending[item.fingerprint] != vm)
+                vm, (item for item in records if pending[item.fingerprint] != vm)
             )
 
     def _send_records(self, vm: str, records: Iterable[CrashRecord]) -> None:
-        left = iter(records)
-        while taken := tuple(itertools.islice(left, _N_RECORDS_PER_FRAME_MAX)):
-            self._control.send(vm, CrashRecords(taken))
+        remaining = iter(records)
+        while batch := tuple(itertools.islice(remaining, _N_RECORDS_PER_FRAME_MAX)):
+            self._control.send(vm, CrashRecords(batch))
 
 
 __all__ = ["CrashReports"]
--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -1,9 +1,9 @@
-"""What this daemon has acknowledged of targets that leave, kept in the platform.
+"""Acknowledged departures of targets, persisted on the platform.
 
-The acknowledgement binds the VM, not the process: a daemon that restarts right
-after it knows nothing of it, and what the target said before may still arrive.
-Taken for news, that would bring requests to a target that is about to end, which
-one would notice as requests cut off seconds after it said that it leaves.
+An acknowledgement has to outlive the process: a daemon that restarts right after
+it has lost its state, and earlier announcements of the target may still arrive.
+If it accepted them, it would route requests to a target that is about to exit, and
+these would be cut off seconds after the target announced its departure.
 """
 
 from __future__ import annotations
@@ -26,19 +26,20 @@
 log = structlog.get_logger(__name__)
 
 _PREFIX: Final = "departure/"
-# Announcements are held up for seconds; ten minutes are room for any of them, and
-# rows that are older are deleted by whoever writes one next.
+# Announcements are delayed by seconds, so ten minutes cover all of them. A daemon
+# that writes a row deletes older ones of others.
 RETENTION_MS: Final = 600_000
-# How long an acknowledgement waits for its row, and the first announcement for
-# what was kept. Targets wait a second for the answer; a row takes some 20 ms.
+# How long an acknowledgement waits for the write of its row, and the first
+# announcement for the read. Targets wait a second for the answer; a row takes some
+# 20 ms.
 WAIT_MAX_S: Final = 0.4
 
 
 class DepartureRows:
-    """Keeps the departures of this VM's targets in one row.
+    """Persists the departures of this VM's targets in one row.
 
-    What an earlier process of this VM has kept is read before the first
-    announcement is taken, unless with `is_first_start` there was none.
+    The row of an earlier process of this VM is read before the first announcement
+    is accepted. With `is_first_start` there was no such process.
     """
 
     def __init__(
@@ -60,20 +61,23 @@
         self._write_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to read what was kept."""
+        """Start to read the row of an earlier process."""
         self._start_restore()
 
     async def restored(self) -> None:
-        """Return once the row was read, or after a while without it.
+        """Wait until the row was read, for up to `WAIT_MAX_S`.
 
-        With the platform away the daemon can't know; a target that serves is
-        worth more than what a rare delayed announcement costs.
+        During an outage of the platform the row is unavailable. Serving its target
+        without the row is worth more than a rare delayed announcement costs.
         """
         if not self._start_restore().done():
             await asyncio.wait([self._start_restore()], timeout=WAIT_MAX_S)
 
     async def save(self) -> None:
-        """Write what is new, and return once it is kept or after a while."""
+        """Write changed departures, and wait for that up to `WAIT_MAX_S`.
+
+        A write that takes longer continues in the background.
+        """
         current = self._current_departures()
         if current == self._saved:
             return
@@ -90,7 +94,11 @@
         return self._restore_task
 
     def _current_departures(self) -> frozenset[tuple[str, int, bool]]:
-        """Return what the row has to say; a target that drains says so repeatedly."""
+        """Return the content that the row needs.
+
+        Sequences are reduced to whether they are the last one, as a draining target
+        repeats its announcement and needs no write for each.
+        """
         return frozenset(
             (item.name, item.start_ms, item.sequence == LAST_SEQUENCE)
             for item in self._announcements.departures()
@@ -116,7 +124,7 @@
             log.info(Event.DEPARTURES_RESTORED, targets=names)
 
     async def _write(self) -> None:
-        # Else a daemon that restarted would write over what it kept before.
+        # Otherwise a restarted daemon would overwrite the departures of its row.
         await asyncio.shield(self._start_restore())
         oldest_ms = self._wall_ms() - RETENTION_MS
         departures = self._announcements.departures()
@@ -126,13 +134,13 @@
         await self._delete_expired()
 
     async def _delete_expired(self) -> None:
-        """Delete rows that counted no more at the start, as of VMs that are gone."""
+        """Delete rows that had expired at the start, such as those of removed VMs."""
         expired_keys, self._expired_keys = self._expired_keys, []
         await delete_batch(self._table, expired_keys)
 
 
 def _iter_departures(row: Row) -> Iterator[Departure]:
-    """Yield what a row says; another release may write what can't be read."""
+    """Yield the departures of a row; log one that another release wrote unreadably."""
     try:
         for name, start_ms, sequence, noted_ms in parse_json(row.value):
             yield Departure(str(name), int(start_ms), int(sequence), int(noted_ms))
@@ -141,7 +149,7 @@
 
 
 def _newest_ms(row: Row) -> int:
-    """Return when the last departure of a row was noted, 0 if it can't be read."""
+    """Return when the last departure of a row was recorded, 0 if it is unreadable."""
     return max((item.noted_ms for item in _iter_departures(row)), default=0)
 
 
--- a/packages/pepperstaird/pepperstaird/edges.py
+++ b/packages/pepperstaird/pepperstaird/edges.py
@@ -1,8 +1,8 @@
-"""What a daemon speaks to the world outside with, joined when it is built.
+"""The external dependencies of a daemon, which are injected when it is built.
 
-The daemon itself is the same wherever it runs. The platform that keeps its
+The daemon itself is the same in every deployment. The platform that keeps its
 rows, the source of its configuration, the headers of its callers and targets
-and the further addresses that it serves differ from one deployment to another.
+and the additional addresses that it serves differ from one deployment to another.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class PlatformEdge(Protocol):
-    """The client of the platform, as far as every daemon needs it."""
+    """The part of the platform's client that every daemon needs."""
 
     counters: PlatformCounters
 
@@ -35,7 +35,7 @@
 
 
 class Configuration(Protocol):
-    """The configuration in force, wherever it comes from."""
+    """The configuration in force, independent of its source."""
 
     route_table: RouteTable
     overrides: Any
@@ -45,16 +45,16 @@
     reached_by: str
 
     def start(self) -> None:
-        """Begin to follow the source."""
+        """Start to follow the source."""
 
     def close(self) -> None:
         """Stop following."""
 
     def members_changed(self) -> None:
-        """Take note that the directory of members has changed."""
+        """Handle a change of the directory of members."""
 
     def catch_up(self) -> None:
-        """Look for what was missed, after a pause."""
+        """Fetch versions that were missed during a pause of the process."""
 
     def versions(self) -> dict[str, int]:
         """Return the version in force of each customer."""
@@ -69,28 +69,34 @@
         """Return the counts that `status` and the metrics show."""
 
     def rejected(self) -> dict[str, Any]:
-        """Return the versions that were applied nowhere, and why."""
+        """Return the rejected versions and the cause of each rejection."""
 
 
 class MemberTable(Protocol):
     """This daemon's entry in the platform's list of daemons."""
 
     def start(self) -> None:
-        """Begin to write the own entry and to read the others."""
+        """Start to write the own entry and to read the others."""
 
     async def remove_own(self) -> None:
         """Delete the own entry, as this daemon leaves."""
 
 
 class FurtherServer(Struct, frozen=True):
-    """One more address that the daemon serves."""
+    """An additional server of the daemon and the address that it listens on."""
 
     server: HttpServer
     address: str
 
 
 class Edges(Struct, frozen=True):
-    """The functions that build the outside edges of one daemon."""
+    """The factories and options that adapt a daemon to its deployment.
+
+    `make_budget_of` returns a function from the name of a service to its retry
+    budget, `iter_servers` yields additional servers, and `reload` is called on
+    SIGHUP. `follow_settings` runs as long as the daemon, if given. `service` is that
+    of the VM's own target; it accompanies requests that are passed on.
+    """
 
     make_platform: Callable[[Settings], PlatformEdge]
     make_configuration: Callable[[Daemon], Configuration]
--- a/packages/pepperstaird/pepperstaird/member_rows.py
+++ b/packages/pepperstaird/pepperstaird/member_rows.py
@@ -1,7 +1,7 @@
-"""This daemon's row in the platform's table, and the rows of the others.
+"""The rows of daemons in the platform's table, for discovery.
 
-The rows only help daemons find each other where the seeds of the settings do
-not: liveness never depends on them, and an outage of the platform costs nothing
+The rows only help daemons discover each other where the seeds of the settings do
+not. Liveness never depends on them, and an outage of the platform disables nothing
 but discovery.
 """
 
@@ -30,20 +30,21 @@
 
 log = structlog.get_logger(__name__)
 
-# Time after which the own row is written anew, which shows that its daemon lives.
+# Interval at which the own row is written again, as a sign that the daemon is alive.
 ROW_INTERVAL_S: Final = 300.0
 _PREFIX: Final = "member/"
 _JOIN_MAX_S: Final = 2.0
-# While the own row is not written, or no neighbour is known, the platform is
-# asked again after this; doubled each time, so that an outage is no storm.
+# While the own row is not written, or no neighbour is known, the platform is queried
+# again with exponential backoff, so that an outage causes no storm of retries.
 _RETRY_MIN_S: Final = 0.5
 _RETRY_MAX_S: Final = 8.0
 
 
 class MemberRows:
-    """Writes the own row and reads the others where that is this daemon's turn.
+    """Writes the own row, and reads the others for discovery and as the sweeper.
 
-    With `is_first_start` there are no rows of an earlier process to look for.
+    The sweeper deletes the rows of daemons that no longer write them. With
+    `is_first_start` there is no row of an earlier process.
     """
 
     def __init__(
@@ -68,25 +69,25 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to write and read rows."""
+        """Start to write and read rows."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
-        """Stop writing."""
+        """Stop writing and reading rows."""
         if self._task is not None:
             self._task.cancel()
 
     async def remove_own(self) -> None:
-        """Delete the own row, as this daemon leaves; failing that, others will."""
+        """Delete the own row as this daemon leaves; if that fails, the sweeper will."""
         self.close()
         await self._platform.delete_row(_row_key(self._directory.own().vm))
 
     async def _run(self) -> None:
         if not self._is_first_start:
-            # The rows of before tell where the others are; without them callers
-            # would find no target for the time of the spread.
+            # Rows written before the restart hold the addresses of the others.
+            # Without them callers would find no target until the jitter below is over.
             await self._discover_members()
-        # A herd that starts together would write all rows at once.
+        # Jitter: daemons that start together would write all rows at once.
         await asyncio.sleep(self._rng.uniform(0, self._first_write_delay_max_s))
         retry_s = _RETRY_MIN_S
         while True:
@@ -106,7 +107,7 @@
     async def _discover_members(self) -> None:
         rows = await self._read_rows()
         own = self._directory.own()
-        # A restarted daemon is still to be found where it was.
+        # The row of a restarted daemon is still valid if its address is unchanged.
         self._is_written = any(
             row.vm == own.vm and row.peer_address == own.peer_address
             for row in rows or ()
@@ -132,7 +133,7 @@
         return True
 
     async def _read_rows(self) -> list[MemberRow] | None:
-        """Return all rows, whose addresses are dialled; None without an answer."""
+        """Return all rows and dial their addresses; None if the read failed."""
         read = await self._platform.read_rows(_PREFIX)
         if read.is_err():
             return None
@@ -146,7 +147,7 @@
 
 
 def _iter_rows(rows: tuple[Row, ...]) -> Iterator[MemberRow]:
-    """Yield the rows that can be read; another version may write others."""
+    """Yield the readable rows; other releases may write rows in other formats."""
     for row in rows:
         try:
             value = parse_json(row.value)
--- a/packages/pepperstaird/pepperstaird/quarantine_rows.py
+++ b/packages/pepperstaird/pepperstaird/quarantine_rows.py
@@ -1,4 +1,4 @@
-"""The quarantined requests, kept in the platform's table for daemons that start."""
+"""Quarantined requests, persisted on the platform for daemons that start."""
 
 from __future__ import annotations
 
@@ -23,9 +23,10 @@
 
 
 class QuarantineRows:
-    """Keeps one row for each quarantined request.
+    """Persists one row for each quarantined request.
 
-    With `is_first_start` there are no rows of an earlier process to read.
+    With `is_first_start` nothing is read at the start, as there was no earlier
+    process.
     """
 
     def __init__(
@@ -39,18 +40,18 @@
         self._on_read: Callable[[Iterable[CrashRecord]], None] = lambda kept: None
 
     def start(self, on_read: Callable[[Iterable[CrashRecord]], None]) -> None:
-        """Read what was kept, and hand over what is read now and later."""
+        """Read the rows, and register the callback for records that are read."""
         self._on_read = on_read
         if not self._is_first_start:
             self.read()
 
     def read(self) -> None:
-        """Read what any daemon has kept, unless that is under way."""
+        """Start to read the rows of all daemons, unless a read is in progress."""
         if self._read_task is None or self._read_task.done():
             self._read_task = _create_task(self._read())
 
     def save(self, record: CrashRecord) -> None:
-        """Write the row of a quarantined request, in place of an earlier one."""
+        """Write the row of a quarantined request, and cancel an earlier write of it."""
         fingerprint = record.fingerprint
         earlier = self._write_tasks.pop(fingerprint, None)
         if earlier is not None:
@@ -86,7 +87,7 @@
 
 
 def _iter_records(row: Row) -> Iterator[tuple[CrashRecord, int]]:
-    """Yield what a row says; another release may write what can't be read."""
+    """Yield the record of a row; log one that another release wrote unreadably."""
     try:
         fingerprint = bytes.fromhex(row.key.removeprefix(_PREFIX))
         crash_ids, noted_ms = parse_json(row.value)
--- a/packages/pepperstaird/pepperstaird/row_calls.py
+++ b/packages/pepperstaird/pepperstaird/row_calls.py
@@ -1,4 +1,4 @@
-"""What daemons do alike with the rows that they keep on the platform."""
+"""Operations that are shared by all kinds of rows on the platform."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 _RETRY_MIN_S: Final = 0.1
 _RETRY_MAX_S: Final = 2.0
-# What one daemon deletes at a time; the others do their part.
+# Rows that one daemon deletes at a time; the other daemons delete further ones.
 _DELETE_BATCH_MAX: Final = 10
 
 
 async def call_until_answered(call: Callable[[], Awaitable[Result[T, Failure]]]) -> T:
-    """Call the platform until it answers, less and less often, and return its answer.
+    """Call the platform until a call succeeds, and return its value.
 
-    The platform's client counts each failure.
+    Retries use exponential backoff. The platform's client counts each failure.
     """
     retry_s = _RETRY_MIN_S
     while True:
@@ -38,7 +38,7 @@
 
 
 async def delete_batch(table: RowTable, keys: Iterable[str]) -> None:
-    """Delete the first few of some rows that nobody needs any more."""
+    """Delete the first `_DELETE_BATCH_MAX` of the given obsolete rows."""
     for key in itertools.islice(keys, _DELETE_BATCH_MAX):
         await table.delete_row(key)
 
