--- a/tests/process_fleet.py
+++ b/tests/process_fleet.py
@@ -1,4 +1,4 @@
-"""What the process tests share: small fleets, their state and their callers."""
+"""Helpers of the process tests: small fleets, their state and their callers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 CUSTOMER = "lantern"
 N_SLOW_CALLS = 8
 ZONES = ("pos-a", "pos-b", "pos-c")
-# Short leases, so that a fault is noticed within the time a test may take.
+# Short leases, so that a fault is detected within the time limit of a test.
 FAST_MEMBERS = """
 [members]
 heartbeat_ms = 200
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Told:
-    """What one caller was told; status 0 where its connection was lost."""
+    """The answer that one caller received; status 0 if its connection was lost."""
 
     status: int
     run: str
@@ -45,7 +45,7 @@
 def start_daemons(
     fleet: Fleet, n_daemons: int, more: str = FAST_MEMBERS
 ) -> list[DaemonProcess]:
-    """Start daemons in turn over the zones and wait until all are ready."""
+    """Start daemons round-robin across the zones and wait until all are ready."""
     for index in range(n_daemons):
         zone = ZONES[index % len(ZONES)]
         fleet.start_daemon(f"vm-{index}", zone, '{ customer = "lantern" }', more)
@@ -83,7 +83,7 @@
 
 
 def is_ready(daemon: DaemonProcess) -> bool:
-    """Return whether a daemon says that it carries calls."""
+    """Return whether a daemon reports that it is ready for calls."""
     return fetch(daemon.operators, "GET", "/v1/ready")[0] == 200
 
 
@@ -99,7 +99,7 @@
 
 
 def knows_target(daemon: DaemonProcess, name: str) -> bool:
-    """Return whether a daemon knows a target that takes work."""
+    """Return whether a daemon lists a target that is not draining."""
     return any(
         target["name"] == name and target["state"] != "draining"
         for member in status_of(daemon).get("members", [])
@@ -120,20 +120,20 @@
 
 
 async def set_target_state(target: str, state: str) -> None:
-    """Let a target say something else of itself from now on."""
+    """Change the state that a target announces from now on."""
     answer = await fetch_async(target, "PUT", "/stand-in/state", state.encode())
     assert answer[0] == 200
 
 
 async def wait_for_runs(targets: list[str], n_runs: int) -> None:
-    """Wait until targets have begun to run a number of calls together."""
+    """Wait until targets have together started to run a number of calls."""
     async with asyncio.timeout(20):
         while sum([len(await runs_of_async(target)) for target in targets]) < n_runs:
             await asyncio.sleep(0.02)
 
 
 def call(daemon: DaemonProcess, request_id: str, **more: str) -> Told:
-    """Send one award through a daemon and return what the caller is told."""
+    """Send one award through a daemon and return the caller's answer."""
     return asyncio.run(call_async(daemon.callers, request_id, **more))
 
 
@@ -147,7 +147,7 @@
     work_ms: str = "",
     give_up_ms: int = 10_000,
 ) -> Told:
-    """Send one award and wait for the whole answer or the loss of it."""
+    """Send one award and wait for the whole answer or the loss of the connection."""
     headers = [(b"x-request-id", request_id.encode())]
     if timeout_ms:
         headers.append((b"pepperstair-timeout-ms", timeout_ms.encode()))
@@ -169,15 +169,17 @@
     )
 
 
-def served_by(told: Told) -> str:
+def served_by(answer: Told) -> str:
     """Return the service whose target answered a call, or an empty string."""
-    return told.body.decode().partition("-")[0] if told.status == 200 else ""
+    return answer.body.decode().partition("-")[0] if answer.status == 200 else ""
 
 
 async def call_during(
-    addresses: list[str], targets: list[str], leave: Callable[[], Awaitable[None]]
+    addresses: list[str],
+    targets: list[str],
+    start_departure: Callable[[], Awaitable[None]],
 ) -> list[Told]:
-    """Start slow calls, leave once they all run, and return their answers."""
+    """Start slow calls, start the departure once all run, and return the answers."""
     calls = [
         asyncio.create_task(
             call_async(
@@ -190,5 +192,5 @@
         for index in range(N_SLOW_CALLS)
     ]
     await wait_for_runs(targets, N_SLOW_CALLS)
-    await leave()
+    await start_departure()
     return await asyncio.gather(*calls)
--- a/tests/test_change_lines.py
+++ b/tests/test_change_lines.py
@@ -1,4 +1,4 @@
-"""Changes of one customer pass one by one, beside those of the others."""
+"""Changes of one customer are serialized, concurrently with those of others."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from pepperstaird.configuration.change_lines import N_WAITING_MAX, ChangeLines
 
 
-def test_burst_of_one_customer_is_read_one_by_one():
+def test_burst_of_one_customer_is_processed_one_by_one():
     """A large customer's tool sends hundreds of documents at once.
 
-    Read all at once they would hold the daemon's event loop for seconds, and
-    a small customer's change, or a call, would wait for all of them.
+    Parsed all at once, they would block the daemon's event loop for seconds and
+    delay a small customer's change, or a call.
     """
     running: dict[str, int] = {"lantern": 0, "sayaw": 0}
     most = dict(running)
     refused: list[str] = []
 
-    async def change(lines: ChangeLines, customer: str) -> None:
-        async with lines.turn(customer) as is_turn:
+    async def change(queues: ChangeLines, customer: str) -> None:
+        async with queues.turn(customer) as is_turn:
             if not is_turn:
                 refused.append(customer)
                 return
@@ -29,27 +29,27 @@
             running[customer] -= 1
 
     async def burst() -> None:
-        lines = ChangeLines()
+        queues = ChangeLines()
         customers = ["lantern"] * 300 + ["sayaw"]
-        await asyncio.gather(*[change(lines, customer) for customer in customers])
+        await asyncio.gather(*[change(queues, customer) for customer in customers])
 
     asyncio.run(burst())
     assert most == {"lantern": 1, "sayaw": 1}
     assert refused == ["lantern"] * (300 - N_WAITING_MAX - 1)
 
 
-def test_change_that_waits_too_long_is_told_so(monkeypatch):
-    """The platform answers slowly and the line moves too slowly for its tail.
+def test_change_that_waits_too_long_is_refused(monkeypatch):
+    """The platform answers so slowly that the last changes in the queue time out.
 
-    The operator hears in time that nothing was sent, and when to come back.
+    The operator is notified in time that nothing was committed and when to retry.
     """
     monkeypatch.setattr(change_lines, "WAIT_MAX_MS", 20)
 
     async def run() -> tuple[bool, bool]:
-        lines = ChangeLines()
-        async with lines.turn("lantern") as first, lines.turn("lantern") as second:
+        queues = ChangeLines()
+        async with queues.turn("lantern") as first, queues.turn("lantern") as second:
             pass
-        async with lines.turn("lantern") as third:
+        async with queues.turn("lantern") as third:
             return first and not second, third
 
     assert asyncio.run(run()) == (True, True)
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of crashed targets."""
+"""Distribution of crash records among daemons, and their rows on the platform."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 NOW_MS = 1_000_000
 
 
-class Control:
-    """A control plane with neighbours that only note what they are sent."""
+class FakeControl:
+    """A control plane that records the frames sent to its neighbours."""
 
     def __init__(self):
         self.neighbours = ("a", "b")
@@ -30,8 +30,8 @@
         self.sent[vm] += frames
 
 
-class Table:
-    """Rows in memory."""
+class FakeTable:
+    """An in-memory table of rows."""
 
     def __init__(self):
         self.rows = {}
@@ -51,10 +51,10 @@
 
 
 class Daemon:
-    """The parts of a daemon that have to do with crashes."""
+    """The parts of a daemon that handle crashes."""
 
     def __init__(self, vm="vm-1", table=None, *, is_first_start=True):
-        self.control, self.table = Control(), table or Table()
+        self.control, self.table = FakeControl(), table or FakeTable()
         self.quarantine, self.decisions = Quarantine(), DecisionLog()
         rows = QuarantineRows(self.table, lambda: NOW_MS, is_first_start)
         identity = Identity(vm, 7, "127.0.0.1:1", 500)
@@ -67,13 +67,13 @@
         return self.quarantine.standing(fingerprint, 0.0)
 
 
-async def settled():
-    """Wait until what is gathered has gone out."""
+async def wait_for_batch():
+    """Wait until queued records were sent."""
     await asyncio.sleep(0.12)
 
 
 def on_loop(test):
-    """Run a test on a loop of its own."""
+    """Run a test on its own event loop."""
 
     def run():
         asyncio.run(asyncio.wait_for(test(), 5))
@@ -83,67 +83,71 @@
 
 
 @on_loop
-async def test_news_goes_on_once_and_not_back_to_where_it_came_from():
-    """Guards against records that go round in the fleet for ever."""
+async def test_new_record_is_forwarded_once_and_not_to_its_sender():
+    """Guards against records that circulate in the fleet forever."""
     daemon = Daemon()
     frame = CrashRecords((CrashRecord(b"poison", ("vm-2/1/1",)),))
     daemon.control.on_crash_records("a", frame)
-    await settled()
+    await wait_for_batch()
     daemon.control.on_crash_records("a", frame)
     daemon.control.on_crash_records("b", frame)
-    await settled()
+    await wait_for_batch()
     assert daemon.control.sent == {"b": [frame]}
 
 
 @on_loop
-async def test_what_follows_a_crash_goes_out_in_one_frame():
-    """Guards against a frame for each request that a crash put under record."""
+async def test_records_after_a_crash_are_sent_in_one_frame():
+    """Guards against one frame for each request that was running at a crash."""
     daemon = Daemon()
     running = tuple(b"%d" % index for index in range(12))
     daemon.reports.report_crash("ledger-1", running)
     for fingerprint in running[1:]:
         daemon.reports.report_cleared(daemon.quarantine.record_answer(fingerprint))
-    await settled()
+    await wait_for_batch()
     assert [len(frames) for frames in daemon.control.sent.values()] == [1, 1]
     (tell_all,) = daemon.control.neighbour_up_callbacks
     tell_all("new")
-    (told,) = daemon.control.sent["new"][0].records
-    assert told.fingerprint == b"0"
+    (reported,) = daemon.control.sent["new"][0].records
+    assert reported.fingerprint == b"0"
 
 
 @on_loop
-async def test_third_crash_is_kept_in_the_platform_and_read_by_who_starts():
-    """Guards against a quarantine that ends with the processes that knew of it."""
+async def test_quarantine_is_persisted_and_read_by_a_starting_daemon():
+    """Guards against a quarantine that is lost with the processes that hold it."""
     first = Daemon()
     for _ in range(3):
         first.reports.report_crash("ledger-1", (b"poison",))
-    await settled()
+    await wait_for_batch()
     assert first.standing(b"poison") is Standing.QUARANTINED
     kinds = [decision.kind for decision in first.decisions.find()]
     assert kinds == [DecisionKind.QUARANTINED]
-    later = Daemon("vm-2", first.table, is_first_start=False)
-    await settled()
-    assert later.standing(b"poison") is Standing.QUARANTINED
+    restarted = Daemon("vm-2", first.table, is_first_start=False)
+    await wait_for_batch()
+    assert restarted.standing(b"poison") is Standing.QUARANTINED
 
 
 @on_loop
 async def test_crashes_that_are_added_up_by_the_neighbours_are_kept_too():
-    """Guards against a quarantine that nobody writes, as nobody saw the third crash."""
+    """Guards against a quarantine that no daemon persists.
+
+    No daemon detects the third crash of the request; the count is reached only by
+    merging records.
+    """
     daemon, other = Daemon(), Daemon("vm-2")
     daemon.reports.report_crash("ledger-1", (b"poison",))
-    told = CrashRecords((CrashRecord(b"poison", ("vm-2/1/1", "vm-3/1/1")),))
+    reported = CrashRecords((CrashRecord(b"poison", ("vm-2/1/1", "vm-3/1/1")),))
     for each in (daemon, other):
-        each.control.on_crash_records("a", told)
-    await settled()
+        each.control.on_crash_records("a", reported)
+    await wait_for_batch()
     assert daemon.standing(b"poison") is Standing.QUARANTINED
     assert list(daemon.table.rows) == [f"quarantine/{b'poison'.hex()}"]
     assert other.table.rows == {}
 
 
 @on_loop
-async def test_row_that_can_not_be_read_is_left_out():
-    """Guards against a start that fails on a row of another writer."""
-    table = Table()
+async def test_unreadable_row_is_ignored():
+    """Guards against a start that fails on a row of a different format."""
+    table = FakeTable()
     for key, value in (
         ("zz", "[[], 1]"),
         ("00", "{"),
@@ -152,5 +156,5 @@
     ):
         table.rows[f"quarantine/{key}"] = Row(f"quarantine/{key}", value)
     daemon = Daemon(table=table, is_first_start=False)
-    await settled()
+    await wait_for_batch()
     assert list(daemon.quarantine.records()) == []
--- a/tests/test_departure_rows.py
+++ b/tests/test_departure_rows.py
@@ -1,4 +1,4 @@
-"""Departures of targets that a daemon has acknowledged and keeps in the platform."""
+"""Departures of targets that a daemon has acknowledged and persists on the platform."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 
 class FakeTable:
-    """Rows in memory, which a test can take away."""
+    """An in-memory table of rows that a test can make unavailable."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
-        self.is_away = False
+        self.is_unavailable = False
         self.n_writes = 0
 
     async def read_rows(self, prefix: str):
         """Return the rows with a prefix."""
-        if self.is_away:
+        if self.is_unavailable:
             return Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
         return Ok(tuple(row for key, row in self.rows.items() if key[:9] == prefix[:9]))
 
     async def commit(self, compare, put):
         """Write rows."""
-        if self.is_away:
+        if self.is_unavailable:
             return Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
         self.n_writes += 1
         self.rows.update((row.key, row) for row in put)
@@ -47,7 +47,7 @@
 
 
 class Process:
-    """One process of the daemon of a VM: what it believes and what it keeps."""
+    """One process of a VM's daemon: its target registry and its departure rows."""
 
     def __init__(self, table: FakeTable) -> None:
         self.registry = TargetRegistry(6000)
@@ -57,15 +57,15 @@
         self.rows = DepartureRows(table, "vm-1", self.announcements, lambda: WALL_MS)
 
     async def take(self, sequence: int, state: TargetState = SERVING) -> bool:
-        """Take an announcement and acknowledge it."""
+        """Process an announcement and acknowledge it."""
         await self.rows.restored()
         target = Target("i-1", "127.0.0.1:1", (), 12, 99, state)
-        is_taken = self.announcements.take(Announcement(target, 0, sequence))
+        is_accepted = self.announcements.take(Announcement(target, 0, sequence))
         await self.rows.save()
-        return is_taken
+        return is_accepted
 
     async def leave(self) -> None:
-        """Take the deregistration of the target and acknowledge it."""
+        """Process the deregistration of the target and acknowledge it."""
         self.announcements.leave("i-1")
         await self.rows.save()
 
@@ -75,10 +75,10 @@
 
 
 def test_restarted_daemon_remembers_the_deregistration_that_it_acknowledged():
-    """An instance deregisters, the daemon acknowledges it and is killed; what the
-    instance said before was held up and arrives at the new process.
+    """An instance deregisters, and the daemon acknowledges that and is killed. A
+    delayed earlier announcement of the instance arrives at the new process.
 
-    Taken for news, it would bring requests to an instance that is about to end.
+    If it were accepted, requests would reach an instance that is about to exit.
     """
 
     async def scenario() -> None:
@@ -94,8 +94,8 @@
 
 
 def test_restarted_daemon_remembers_that_its_target_drains():
-    """The daemon is killed after it acknowledged that its instance drains. A
-    heartbeat from before that comes first, and only then the next one from after it.
+    """The daemon is killed after it acknowledged that its instance drains. The new
+    process first receives a delayed heartbeat from before the draining.
     """
 
     async def scenario() -> None:
@@ -114,23 +114,23 @@
     asyncio.run(scenario())
 
 
-def test_store_that_is_away_delays_no_answer_for_long(monkeypatch):
-    """The store is down while an instance announces itself and then leaves.
+def test_unavailable_store_delays_answers_only_briefly(monkeypatch):
+    """The store is down while an instance announces itself and then deregisters.
 
-    It asks the next daemon after a second, and there is none; with the store back,
-    what was acknowledged is kept after all.
+    The instance waits one second for an answer and then tries the next daemon, and
+    there is none. Once the store is back, the acknowledged departure is persisted.
     """
     monkeypatch.setattr(departure_rows, "WAIT_MAX_S", 0.01)
 
     async def scenario() -> None:
         table = FakeTable()
-        table.is_away = True
+        table.is_unavailable = True
         first = Process(table)
         async with asyncio.timeout(5):
             assert await first.take(5)
             await first.leave()
             assert not table.rows
-            table.is_away = False
+            table.is_unavailable = False
             while not table.rows:
                 await asyncio.sleep(0.01)
         second = Process(table)
@@ -139,8 +139,8 @@
     asyncio.run(scenario())
 
 
-def test_old_and_unreadable_rows_count_for_nothing_and_go():
-    """VMs that are gone for good, and other releases, leave rows behind."""
+def test_old_and_unreadable_rows_are_ignored_and_removed():
+    """Removed VMs and other releases leave obsolete rows on the platform."""
 
     async def scenario() -> None:
         table = FakeTable()
--- a/tests/test_process_acceptance.py
+++ b/tests/test_process_acceptance.py
@@ -1,4 +1,4 @@
-"""Acceptance of changes by real daemons while operators race and parts fail."""
+"""Acceptance of changes by real daemons under concurrent changes and failures."""
 
 from __future__ import annotations
 
@@ -19,10 +19,9 @@
 
 
 def test_operators_racing_on_one_version(fleet):
-    """Several operators start from the same version and apply at once.
+    """Several operators apply changes to the same version concurrently.
 
-    If two of them were told that they won, the change of one would be gone
-    without anybody having been told.
+    If two of them succeeded, the change of one would be lost without an error.
     """
     daemons = start_daemons(fleet, 3)
     put_in_force(fleet, award_document("ledger"), daemons[0])
@@ -50,10 +49,10 @@
 
 
 def test_accepting_daemon_dies_right_after_its_answer(fleet):
-    """The daemon that accepted a change is lost with its VM an instant later.
+    """The daemon that accepted a change is lost with its VM immediately afterwards.
 
-    The operator was told that the change is accepted. If only that daemon knew
-    of it, the change would never take effect and nobody would say so.
+    The operator was answered that the change is accepted. If only that daemon had
+    it, the change would never take effect, without an error.
     """
     daemons = start_daemons(fleet, 4)
     for round_number, accepting in enumerate(daemons[1:], start=1):
@@ -67,11 +66,11 @@
         wait_in_force(fleet.daemons, applied.version)
 
 
-def test_accepting_daemon_dies_while_the_platform_goes_out(fleet):
-    """The accepting daemon and the platform are lost together.
+def test_accepting_daemon_dies_at_the_start_of_a_platform_outage(fleet):
+    """The accepting daemon and the platform fail together.
 
     The change was accepted, so it must be in force everywhere once the platform
-    is back, and the number of its version must not be given out again.
+    is back, and its version number must not be assigned again.
     """
     daemons = start_daemons(fleet, 3)
     put_in_force(fleet, award_document("ledger"), daemons[0])
@@ -90,10 +89,10 @@
 
 
 def test_answer_lost_after_the_commit(fleet):
-    """The platform commits a change and its answer never arrives.
+    """The platform commits a change, but its answer is lost.
 
-    The operator asks again with the same change id, at another daemon. The change
-    must not be committed a second time, and the answer must name its version.
+    The operator retries with the same change id at another daemon. The change must
+    not be committed a second time, and the answer must contain its version.
     """
     daemons = start_daemons(fleet, 3)
     fleet.set_platform_faults(mode="drop_answers", path_prefix="/v1/transaction")
@@ -108,11 +107,11 @@
     assert (third.status, third.version) == (200, 2)
 
 
-def test_platform_out(fleet):
-    """The platform is out for a while.
+def test_platform_outage(fleet):
+    """The platform is unavailable for some time.
 
-    Operators must be told soon that nothing was accepted, the configuration that
-    is in force must stay, and the same change must go through afterwards.
+    Operators must soon get the answer that nothing was accepted, the configuration
+    must stay in force, and the same change must be accepted afterwards.
     """
     daemons = start_daemons(fleet, 3)
     put_in_force(fleet, award_document("ledger"), daemons[0])
@@ -130,10 +129,10 @@
 
 
 def test_platform_slower_than_its_timeout(fleet):
-    """The platform commits, but answers later than daemons wait for.
+    """The platform commits, but its answer exceeds the timeout of the daemons.
 
-    An answer that says "not accepted" for a change that did take effect would make
-    the operator send it twice; no answer at all would leave them hanging.
+    The answer "not accepted" for a change that takes effect would make the operator
+    send it twice. Without any answer the operator would wait indefinitely.
     """
     daemons = start_daemons(fleet, 3)
     fleet.set_platform_faults(
@@ -145,7 +144,7 @@
     fleet.set_platform_faults()
     wait_until(
         lambda: apply_intent(daemons[1], CUSTOMER, document, "slow-1").version == 1,
-        "the first answer, asked for again",
+        "the answer of the first change after a retry",
     )
     wait_in_force(daemons, 1)
 
@@ -153,8 +152,8 @@
 def test_invalid_document_is_accepted_nowhere(fleet):
     """An operator misspells the service of a route.
 
-    A proxy that took the rest of the document would hold a version that nobody
-    wrote; one that took the route would send callers nowhere.
+    A proxy that applied the rest of the document would hold a version that nobody
+    wrote; one that applied the route would have no service for its calls.
     """
     daemons = start_daemons(fleet, 3)
     put_in_force(fleet, award_document("ledger"), daemons[0])
--- a/tests/test_process_configuration.py
+++ b/tests/test_process_configuration.py
@@ -1,4 +1,4 @@
-"""What operators learn about versions from any daemon."""
+"""The `wait`, `history` and `explain` operations of real daemons."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 def ask(daemon: DaemonProcess, path: str) -> tuple[int, Any]:
-    """Ask a daemon's operators' interface."""
+    """Send a GET request to a daemon's operators' interface."""
     status, body = fetch(daemon.operators, "GET", path)
     return status, json.loads(body)
 
 
-def test_any_daemon_tells_where_a_version_is_in_force(fleet):
-    """The daemon that accepted a change is gone, and the operator asks another.
+def test_any_daemon_reports_where_a_version_is_in_force(fleet):
+    """The operator queries a daemon other than the one that accepted the change.
 
-    It has to find out by itself who has the version in force; a daemon that is
-    frozen is named as missing instead of being passed over.
+    It has to collect by itself which daemons have the version in force. A frozen
+    daemon is reported as missing instead of being omitted.
     """
     daemons = start_daemons(fleet, 4)
     put_in_force(fleet, award_document("ledger"), daemons[0])
-    status, told = ask(daemons[1], f"/v1/wait/{CUSTOMER}?version=1&timeout_ms=9000")
-    assert status == 200 and told["is_converged"] and not told["missing"]
-    assert told["in_force"] == [daemon.vm for daemon in daemons]
+    status, content = ask(daemons[1], f"/v1/wait/{CUSTOMER}?version=1&timeout_ms=9000")
+    assert status == 200 and content["is_converged"] and not content["missing"]
+    assert content["in_force"] == [daemon.vm for daemon in daemons]
     daemons[3].freeze()
     assert apply_intent(daemons[1], CUSTOMER, award_document("vault")).version == 2
     wait = f"/v1/wait/{CUSTOMER}?version=2&timeout_ms=200"
@@ -43,7 +43,7 @@
     assert ask(daemons[1], "/v1/wait/nobody")[0] == 404
 
 
-def test_history_and_explain_tell_where_a_version_came_from(fleet):
+def test_history_and_explain_report_the_origin_of_a_version(fleet):
     daemons = start_daemons(fleet, 3)
     document = award_document("ledger") + (
         '[[routes]]\nname = "edge"\npath_prefix = "/edge"\nservice = "ledger"\n'
@@ -60,9 +60,9 @@
     assert change["convergence_ms"] is not None
     for daemon, is_carried in ((daemons[1], True), (daemons[2], False)):
         path = f"/v1/explain?customer={CUSTOMER}&route=edge"
-        told = ask(daemon, path)[1]["configuration"]
-        assert told["accepted_by"] == daemons[0].vm
-        assert told["learnt_from"] in {other.vm for other in daemons} - {daemon.vm}
-        assert told["in_force_at_ms"] >= told["accepted_at_ms"]
-        assert told["route"]["is_carried"] is is_carried
+        content = ask(daemon, path)[1]["configuration"]
+        assert content["accepted_by"] == daemons[0].vm
+        assert content["learnt_from"] in {other.vm for other in daemons} - {daemon.vm}
+        assert content["in_force_at_ms"] >= content["accepted_at_ms"]
+        assert content["route"]["is_carried"] is is_carried
     assert ask(daemons[1], "/v1/explain?customer=nobody")[0] == 404
--- a/tests/test_process_floor.py
+++ b/tests/test_process_floor.py
@@ -1,4 +1,4 @@
-"""Real daemons that restart while the platform is out."""
+"""Real daemons that restart during an outage of the platform."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 )
 
 
-def test_restart_while_the_platform_is_out(fleet):
-    """A daemon is killed and started again during an outage of the platform.
+def test_restart_during_a_platform_outage(fleet):
+    """A daemon is killed and restarted during an outage of the platform.
 
-    It may refuse calls until its neighbours have told it what is in force. Were
-    it to serve the older version, callers would reach what was moved away; were
-    it never to serve, every restart in a long outage would cost an instance.
+    It may refuse calls until its neighbours have sent the versions in force. If it
+    served by an older version, calls would reach a service that was replaced; if it
+    never served, every restart during a long outage would disable an instance.
     """
     daemons = start_daemons(fleet, 3)
     start_target(fleet, daemons[1], "ledger")
@@ -41,11 +41,12 @@
     assert set(answers) <= {"", "vault"}
 
 
-def test_restart_beside_a_neighbour_that_lags(fleet):
-    """A daemon restarts in an outage while one neighbour missed the last version.
+def test_restart_with_a_lagging_neighbour(fleet):
+    """A daemon restarts in an outage while one neighbour lacks the last version.
 
-    The lagging neighbour was frozen when the version spread and wakes as the
-    daemon asks around. Believing it would take the daemon back.
+    The lagging neighbour was frozen when the version was distributed, and resumes
+    while the daemon queries its neighbours. Trusting its answer would put the older
+    version in force.
     """
     daemons = start_daemons(fleet, 3)
     start_target(fleet, daemons[2], "ledger")
--- a/tests/test_process_routes.py
+++ b/tests/test_process_routes.py
@@ -1,4 +1,4 @@
-"""Routes and services change together on real daemons, under calls."""
+"""Routes and services change atomically on real daemons while calls are running."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 def test_route_never_lacks_its_service(fleet):
-    """The service of a route is replaced by another, again and again.
+    """The service of a route is replaced repeatedly.
 
-    Each version knows one service only. A proxy that took routes and services
-    apart would, for an instant, route to a service that it no longer knows, and
-    refuse calls that every version could serve.
+    Each version contains one service only. A proxy that applied routes and services
+    separately would briefly route to a service that it no longer has, and refuse
+    calls that every version can serve.
     """
     daemons = start_daemons(fleet, 3)
     start_target(fleet, daemons[0], "ledger")
@@ -36,12 +36,12 @@
     is_over = asyncio.Event()
 
     async def call_on(daemon: DaemonProcess) -> list[Told]:
-        told = []
+        answers = []
         for number in itertools.count():
             request_id = f"{daemon.vm}-{number}"
-            told.append(await call_async(daemon.callers, request_id))
+            answers.append(await call_async(daemon.callers, request_id))
             if is_over.is_set():
-                return told
+                return answers
 
     async def change_under_calls() -> list[Told]:
         calls = [asyncio.create_task(call_on(daemon)) for daemon in daemons]
@@ -55,6 +55,6 @@
         is_over.set()
         return list(itertools.chain(*await asyncio.gather(*calls)))
 
-    told = asyncio.run(change_under_calls())
-    assert {served_by(answer) for answer in told} == {"ledger", "vault"}
+    answers = asyncio.run(change_under_calls())
+    assert {served_by(answer) for answer in answers} == {"ledger", "vault"}
     assert version_of(daemons[0]) == N_CHANGES + 1
