--- a/packages/pepperstaird/pepperstaird/configuration/records.py
+++ b/packages/pepperstaird/pepperstaird/configuration/records.py
@@ -57,13 +57,15 @@
 
     def find(self, customer: str, version: int) -> VersionRecord | None:
         """Return the record of one version, None if there is none."""
-        found = (r for r in self.of_customer(customer) if r.head.version == version)
-        return next(found, None)
+        matches = (r for r in self.of_customer(customer) if r.head.version == version)
+        return next(matches, None)
 
     def find_change(self, customer: str, change_id: str) -> VersionRecord | None:
         """Return the record of the version that a change created, None if unknown."""
-        found = (r for r in self.of_customer(customer) if r.head.change_id == change_id)
-        return next(found, None)
+        matches = (
+            r for r in self.of_customer(customer) if r.head.change_id == change_id
+        )
+        return next(matches, None)
 
 
 __all__ = ["N_RECORDS_MAX", "VersionRecord", "VersionRecords"]
--- a/packages/pepperstaird/pepperstaird/crash_reports.py
+++ b/packages/pepperstaird/pepperstaird/crash_reports.py
@@ -82,7 +82,7 @@
             n_running=len(running),
         )
         self._queue_records(charged)
-        quarantined = [found for found in charged if self._is_quarantined(found)]
+        quarantined = [each for each in charged if self._is_quarantined(each)]
         for record in quarantined:
             self._report_quarantined(record.fingerprint)
         if not quarantined:
@@ -97,8 +97,8 @@
     def _handle_frame(self, vm: str, frame: CrashRecords) -> None:
         self._queue_records(self._merge(frame.records), vm)
 
-    def _restore(self, kept: Iterable[CrashRecord]) -> None:
-        self._queue_records(self._merge(kept))
+    def _restore(self, stored: Iterable[CrashRecord]) -> None:
+        self._queue_records(self._merge(stored))
 
     def _merge(self, reported: Iterable[CrashRecord]) -> Iterable[CrashRecord]:
         """Merge records and yield those that were new."""
@@ -142,7 +142,7 @@
     def _send_open_records(self, vm: str) -> None:
         """Send a new neighbour the open records; it does not need cleared ones."""
         records = self._quarantine.records()
-        self._send_records(vm, (found for found in records if found.is_open))
+        self._send_records(vm, (each for each in records if each.is_open))
 
     def _queue_records(self, records: Iterable[CrashRecord], sender: str = "") -> None:
         for record in records:
@@ -157,8 +157,10 @@
         self._timer = None
         pending, self._pending = self._pending, {}
         # A record may have been evicted meanwhile.
-        tracked = [found for found in pending if found in self._quarantine]
-        records = [self._quarantine.get(found) for found in tracked]
+        tracked = [
+            fingerprint for fingerprint in pending if fingerprint in self._quarantine
+        ]
+        records = [self._quarantine.get(fingerprint) for fingerprint in tracked]
         for vm in self._control.neighbours:
             self._send_records(
                 vm, (item for item in records if pending[item.fingerprint] != vm)
--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -107,20 +107,20 @@
     async def _restore(self) -> None:
         if self._is_first_start:
             return
-        found = await call_until_answered(lambda: self._table.read_rows(_PREFIX))
-        rows = [row for row in found if row.key == self._key]
+        all_rows = await call_until_answered(lambda: self._table.read_rows(_PREFIX))
+        rows = [row for row in all_rows if row.key == self._key]
         oldest_ms = self._wall_ms() - RETENTION_MS
         self._expired_keys = [
             row.key
-            for row in found
+            for row in all_rows
             if row.key != self._key and _newest_ms(row) < oldest_ms
         ]
-        kept = [item for row in rows for item in _iter_departures(row)]
-        kept = [item for item in kept if item.noted_ms >= oldest_ms]
-        self._announcements.restore(kept)
-        if kept:
+        recent = [item for row in rows for item in _iter_departures(row)]
+        recent = [item for item in recent if item.noted_ms >= oldest_ms]
+        self._announcements.restore(recent)
+        if recent:
             self._saved |= self._current_departures()
-            names = [item.name for item in kept]
+            names = [item.name for item in recent]
             log.info(Event.DEPARTURES_RESTORED, targets=names)
 
     async def _write(self) -> None:
@@ -128,8 +128,8 @@
         await asyncio.shield(self._start_restore())
         oldest_ms = self._wall_ms() - RETENTION_MS
         departures = self._announcements.departures()
-        kept = [astuple(item) for item in departures if item.noted_ms >= oldest_ms]
-        row = Row(self._key, json.dumps(kept))
+        recent = [astuple(item) for item in departures if item.noted_ms >= oldest_ms]
+        row = Row(self._key, json.dumps(recent))
         await call_until_answered(lambda: self._table.commit((), (row,)))
         await self._delete_expired()
 
--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -35,7 +35,8 @@
 _PULL_DELAY_S: Final = 0.25
 # Number of versions whose documents are kept as bases of deltas.
 _N_RECENT_DOCUMENTS_MAX: Final = 3
-# A delta is sent only if its size is at most this share of that of a full copy.
+# A delta is sent only if its size is at most this share of that of a full copy, as a
+# larger one saves too little.
 _DELTA_MAX_SHARE: Final = 0.5
 
 
@@ -208,9 +209,10 @@
         self._control.send(vm, self._update_since(held_version))
 
     def _update_since(self, held_version: int) -> DocumentCopy | DocumentDelta:
-        """Return the delta or copy for a neighbour that holds some version.
+        """Return the update for a neighbour that holds some version.
 
-        Each is compressed once for all neighbours.
+        It is a delta if that version is among the recent ones and the delta is small
+        enough, else a full copy. Each is compressed once for all neighbours.
         """
         data = self._following.document.data
         position, age_ms = self.position or 0, self.age_ms()
--- a/packages/pepperstaird/pepperstaird/follower.py
+++ b/packages/pepperstaird/pepperstaird/follower.py
@@ -226,10 +226,10 @@
             return
         while self._control.neighbours or not self.schedule.is_confirmed:
             now_ms = boot_ms()
-            left_ms = self.schedule.due_ms(self._place(), now_ms) - now_ms
-            if left_ms <= 0.0:
+            remaining_ms = self.schedule.due_ms(self._place(), now_ms) - now_ms
+            if remaining_ms <= 0.0:
                 return
-            await asyncio.sleep(left_ms / 1000)
+            await asyncio.sleep(remaining_ms / 1000)
 
     def _is_watching(self) -> bool:
         """Return whether the own watch is expected to deliver new versions."""
@@ -250,8 +250,8 @@
         wait_ms = int(_WATCH_MAX_MS * self._rng.uniform(min_share, 1.0))
         if not self._watches_continuously():
             wait_ms = await self._pause_unless_watching(wait_ms)
-        known = max(position, self._exchange.position or 0)
-        return await self._table.wait(known, wait_ms)
+        known_position = max(position, self._exchange.position or 0)
+        return await self._table.wait(known_position, wait_ms)
 
     async def _read_or_watch_shared(
         self, position: int
--- a/packages/pepperstaird/pepperstaird/quarantine_rows.py
+++ b/packages/pepperstaird/pepperstaird/quarantine_rows.py
@@ -37,7 +37,7 @@
         self._is_first_start = is_first_start
         self._write_tasks: dict[bytes, asyncio.Task[None]] = {}
         self._read_task: asyncio.Task[None] | None = None
-        self._on_read: Callable[[Iterable[CrashRecord]], None] = lambda kept: None
+        self._on_read: Callable[[Iterable[CrashRecord]], None] = lambda stored: None
 
     def start(self, on_read: Callable[[Iterable[CrashRecord]], None]) -> None:
         """Read the rows, and register the callback for records that are read."""
@@ -67,14 +67,14 @@
     async def _read(self) -> None:
         rows = await call_until_answered(lambda: self._table.read_rows(_PREFIX))
         oldest_ms = self._wall_ms() - QUARANTINE_MAX_MS
-        kept = [
+        stored = [
             (row, record, noted_ms)
             for row in rows
             for record, noted_ms in _iter_records(row)
         ]
-        self._on_read(found for _, found, noted_ms in kept if noted_ms >= oldest_ms)
-        old = (row.key for row, _, noted_ms in kept if noted_ms < oldest_ms)
-        await delete_batch(self._table, old)
+        self._on_read(recent for _, recent, noted_ms in stored if noted_ms >= oldest_ms)
+        expired_keys = (row.key for row, _, noted_ms in stored if noted_ms < oldest_ms)
+        await delete_batch(self._table, expired_keys)
 
     async def _write(self, record: CrashRecord) -> None:
         value = json.dumps([record.crash_ids, self._wall_ms()])
--- a/packages/pepperstaird/pepperstaird/reports.py
+++ b/packages/pepperstaird/pepperstaird/reports.py
@@ -96,8 +96,8 @@
 
 def explain_decisions(daemon: Daemon, request: OperatorRequest) -> OperatorReply:
     """Answer with the decisions about a subject, or with all, oldest first."""
-    found = daemon.decisions.find(request.query.get("subject", ""))
-    return json_reply({"decisions": [_decision_content(each) for each in found]})
+    matching = daemon.decisions.find(request.query.get("subject", ""))
+    return json_reply({"decisions": [_decision_content(each) for each in matching]})
 
 
 def record_refusal(daemon: Daemon, customer: str, failure: Failure) -> None:
