--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -116,7 +116,7 @@
             if row.key != self._key and _newest_ms(row) < oldest_ms
         ]
         recent = [item for row in rows for item in _iter_departures(row)]
-        recent = [item for item in recent if item.noted_ms >= oldest_ms]
+        recent = [item for item in recent if item.recorded_ms >= oldest_ms]
         self._announcements.restore(recent)
         if recent:
             self._saved |= self._current_departures()
@@ -128,7 +128,7 @@
         await asyncio.shield(self._start_restore())
         oldest_ms = self._wall_ms() - RETENTION_MS
         departures = self._announcements.departures()
-        recent = [astuple(item) for item in departures if item.noted_ms >= oldest_ms]
+        recent = [astuple(item) for item in departures if item.recorded_ms >= oldest_ms]
         row = Row(self._key, json.dumps(recent))
         await call_until_answered(lambda: self._table.commit((), (row,)))
         await self._delete_expired()
@@ -142,15 +142,15 @@
 def _iter_departures(row: Row) -> Iterator[Departure]:
     """Yield the departures of a row; log one that another release wrote unreadably."""
     try:
-        for name, start_ms, sequence, noted_ms in parse_json(row.value):
-            yield Departure(str(name), int(start_ms), int(sequence), int(noted_ms))
+        for name, start_ms, sequence, recorded_ms in parse_json(row.value):
+            yield Departure(str(name), int(start_ms), int(sequence), int(recorded_ms))
     except (ValueError, TypeError) as error:
         log.warning(Event.ANNOUNCEMENT_IGNORED, target=row.key, cause=repr(error))
 
 
 def _newest_ms(row: Row) -> int:
     """Return when the last departure of a row was recorded, 0 if it is unreadable."""
-    return max((item.noted_ms for item in _iter_departures(row)), default=0)
+    return max((item.recorded_ms for item in _iter_departures(row)), default=0)
 
 
 __all__ = ["RETENTION_MS", "WAIT_MAX_S", "DepartureRows"]
--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -10,7 +10,7 @@
 
 from pepperstair_core.document_delta import apply_delta, make_delta
 from pepperstair_core.events import Event
-from pepperstair_core.following import Following, Offer
+from pepperstair_core.following import FollowedDocumentState, OfferResult
 from pepperstair_core.shared_reading import ReadSchedule
 from pepperstair_core.wire import (
     DocumentCopy,
@@ -18,8 +18,8 @@
     DocumentFresh,
     DocumentHave,
     DocumentPull,
-    pack,
-    unpack,
+    compress,
+    decompress,
 )
 from pepperstair_peers import ControlPlane
 
@@ -54,8 +54,8 @@
     def __init__(
         self,
         control: ControlPlane,
-        following: Following,
-        offer: Callable[[bytes, str], Offer],
+        following: FollowedDocumentState,
+        offer: Callable[[bytes, str], OfferResult],
         is_watching: Callable[[], bool],
         schedule: ReadSchedule | None,
     ) -> None:
@@ -66,8 +66,8 @@
         self._schedule = schedule
         self._recent_documents: dict[int, bytes] = {}
         # The document in force, compressed, and its compressed delta by base version.
-        self._packed = b""
-        self._packed_deltas: dict[int, bytes] = {}
+        self._compressed = b""
+        self._compressed_deltas: dict[int, bytes] = {}
         # Neighbours whose pull can't be answered yet, and the versions that they hold.
         self._pending_pulls: dict[str, int] = {}
         self._announced_version = 0
@@ -100,8 +100,8 @@
         self._recent_documents[document.version] = document.data
         for version in sorted(self._recent_documents)[:-_N_RECENT_DOCUMENTS_MAX]:
             del self._recent_documents[version]
-        self._packed = b""
-        self._packed_deltas.clear()
+        self._compressed = b""
+        self._compressed_deltas.clear()
         pending_pulls, self._pending_pulls = self._pending_pulls, {}
         for vm, held_version in pending_pulls.items():
             self._answer_pull(vm, held_version)
@@ -216,18 +216,20 @@
         """
         data = self._following.document.data
         position, age_ms = self.position or 0, self.age_ms()
-        self._packed = self._packed or pack(data)
+        self._compressed = self._compressed or compress(data)
         if held_version in self._recent_documents:
-            packed = self._packed_deltas.get(held_version)
-            if packed is None:
-                packed = pack(make_delta(self._recent_documents[held_version], data))
-                self._packed_deltas[held_version] = packed
-            if len(packed) <= _DELTA_MAX_SHARE * len(self._packed):
-                return DocumentDelta(held_version, packed, position, age_ms)
-        return DocumentCopy(self._packed, position, age_ms)
+            compressed = self._compressed_deltas.get(held_version)
+            if compressed is None:
+                compressed = compress(
+                    make_delta(self._recent_documents[held_version], data)
+                )
+                self._compressed_deltas[held_version] = compressed
+            if len(compressed) <= _DELTA_MAX_SHARE * len(self._compressed):
+                return DocumentDelta(held_version, compressed, position, age_ms)
+        return DocumentCopy(self._compressed, position, age_ms)
 
     def _handle_copy(self, vm: str, copy: DocumentCopy) -> None:
-        data = unpack(copy.packed)
+        data = decompress(copy.compressed)
         if data is None:
             log.warning(Event.FRAME_REJECTED, peer=vm, reason="damaged document copy")
             return
@@ -242,7 +244,7 @@
         document = self._following.document
         if document is None or delta.base_version != document.version:
             return
-        changes = unpack(delta.packed)
+        changes = decompress(delta.compressed)
         data = None if changes is None else apply_delta(document.data, changes)
         if data is None:
             log.warning(Event.FRAME_REJECTED, peer=vm, reason="damaged document delta")
@@ -258,9 +260,9 @@
         self, vm: str, data: bytes, frame: DocumentCopy | DocumentDelta
     ) -> None:
         offer = self._offer(data, vm)
-        if offer in (Offer.REJECTED, Offer.REJECTED_BEFORE):
+        if offer in (OfferResult.REJECTED, OfferResult.REJECTED_BEFORE):
             self._rejected_version = self._newest_version
-        if offer is not Offer.IN_FORCE:
+        if offer is not OfferResult.IN_FORCE:
             return
         # The neighbour has seen no newer version up to its position; a watch from an
         # earlier position would make the source send this version once more.
--- a/packages/pepperstaird/pepperstaird/member_rows.py
+++ b/packages/pepperstaird/pepperstaird/member_rows.py
@@ -128,7 +128,7 @@
         rows = await self._read_rows()
         if rows is None:
             return False
-        stale_vms = list(self._sweep.iter_dead(self._directory, rows))
+        stale_vms = list(self._sweep.iter_stale_vms(self._directory, rows))
         await delete_batch(self._platform, map(_row_key, stale_vms))
         return True
 
--- a/packages/pepperstaird/pepperstaird/quarantine_rows.py
+++ b/packages/pepperstaird/pepperstaird/quarantine_rows.py
@@ -68,12 +68,16 @@
         rows = await call_until_answered(lambda: self._table.read_rows(_PREFIX))
         oldest_ms = self._wall_ms() - QUARANTINE_MAX_MS
         stored = [
-            (row, record, noted_ms)
+            (row, record, recorded_ms)
             for row in rows
-            for record, noted_ms in _iter_records(row)
+            for record, recorded_ms in _iter_records(row)
         ]
-        self._on_read(recent for _, recent, noted_ms in stored if noted_ms >= oldest_ms)
-        expired_keys = (row.key for row, _, noted_ms in stored if noted_ms < oldest_ms)
+        self._on_read(
+            recent for _, recent, recorded_ms in stored if recorded_ms >= oldest_ms
+        )
+        expired_keys = (
+            row.key for row, _, recorded_ms in stored if recorded_ms < oldest_ms
+        )
         await delete_batch(self._table, expired_keys)
 
     async def _write(self, record: CrashRecord) -> None:
@@ -90,8 +94,8 @@
     """Yield the record of a row; log one that another release wrote unreadably."""
     try:
         fingerprint = bytes.fromhex(row.key.removeprefix(_PREFIX))
-        crash_ids, noted_ms = parse_json(row.value)
-        yield CrashRecord(fingerprint, tuple(map(str, crash_ids))), int(noted_ms)
+        crash_ids, recorded_ms = parse_json(row.value)
+        yield CrashRecord(fingerprint, tuple(map(str, crash_ids))), int(recorded_ms)
     except (ValueError, TypeError) as error:
         log.warning(Event.ROW_IGNORED, key=row.key, cause=repr(error))
 
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -7,7 +7,7 @@
 
 from result import Ok
 
-from pepperstair_core.calls import CrashRecord, Quarantine, Standing
+from pepperstair_core.calls import CrashRecord, Quarantine, TrustLevel
 from pepperstair_core.decisions import DecisionKind, DecisionLog
 from pepperstair_core.wire import CrashRecords
 from pepperstair_peers import Identity
@@ -63,8 +63,8 @@
         )
         self.reports.start()
 
-    def standing(self, fingerprint):
-        return self.quarantine.standing(fingerprint, 0.0)
+    def trust_level(self, fingerprint):
+        return self.quarantine.trust_level(fingerprint, 0.0)
 
 
 async def wait_for_batch():
@@ -118,12 +118,12 @@
     for _ in range(3):
         first.reports.report_crash("ledger-1", (b"poison",))
     await wait_for_batch()
-    assert first.standing(b"poison") is Standing.QUARANTINED
+    assert first.trust_level(b"poison") is TrustLevel.QUARANTINED
     kinds = [decision.kind for decision in first.decisions.find()]
     assert kinds == [DecisionKind.QUARANTINED]
     restarted = Daemon("vm-2", first.table, is_first_start=False)
     await wait_for_batch()
-    assert restarted.standing(b"poison") is Standing.QUARANTINED
+    assert restarted.trust_level(b"poison") is TrustLevel.QUARANTINED
 
 
 @on_loop
@@ -139,7 +139,7 @@
     for each in (daemon, other):
         each.control.on_crash_records("a", reported)
     await wait_for_batch()
-    assert daemon.standing(b"poison") is Standing.QUARANTINED
+    assert daemon.trust_level(b"poison") is TrustLevel.QUARANTINED
     assert list(daemon.table.rows) == [f"quarantine/{b'poison'.hex()}"]
     assert other.table.rows == {}
 
