--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -1,9 +1,9 @@
-"""What this daemon has acknowledged of targets that leave, kept in the platform.
+"""Acknowledged departures of targets, persisted on the platform.
 
-The acknowledgement binds the VM, not the process: a daemon that restarts right
-after it knows nothing of it, and what the target said before may still arrive.
-Taken for news, that would bring requests to a target that is about to end, which
-one would notice as requests cut off seconds after it said that it leaves.
+An acknowledgement has to outlive the process: a daemon that restarts right after
+it has lost its state, and earlier announcements of the target may still arrive.
+If it accepted them, it would route requests to a target that is about to exit, and
+these would be cut off seconds after the target announced its departure.
 """
 
 from __future__ import annotations
@@ -21,24 +21,25 @@
 from pepperstair_platform import Row, RowTable
 from pepperstair_targets import LAST_SEQUENCE, Departure, OrderedAnnouncements
 
-from .row_calls import call_until_answered, delete_some
+from .row_calls import call_until_answered, delete_batch
 
 log = structlog.get_logger(__name__)
 
 _PREFIX: Final = "departure/"
-# Announcements are held up for seconds; ten minutes are room for any of them, and
-# rows that are older are deleted by whoever writes one next.
-KEPT_MS: Final = 600_000
-# How long an acknowledgement waits for its row, and the first announcement for
-# what was kept. Targets wait a second for the answer; a row takes some 20 ms.
+# Announcements are delayed by seconds, so ten minutes cover all of them. A daemon
+# that writes a row deletes older ones of others.
+RETENTION_MS: Final = 600_000
+# How long an acknowledgement waits for the write of its row, and the first
+# announcement for the read. Targets wait a second for the answer; a row takes some
+# 20 ms.
 WAIT_MAX_S: Final = 0.4
 
 
 class DepartureRows:
-    """Keeps the departures of this VM's targets in one row.
+    """Persists the departures of this VM's targets in one row.
 
-    What an earlier process of this VM has kept is read before the first
-    announcement is taken, unless with `is_first_start` there was none.
+    The row of an earlier process of this VM is read before the first announcement
+    is accepted. With `is_first_start` there was no such process.
     """
 
     def __init__(
@@ -50,47 +51,54 @@
         is_first_start: bool = False,
     ) -> None:
         self._is_first_start = is_first_start
-        self._old_keys: list[str] = []
+        self._expired_keys: list[str] = []
         self._table = table
         self._key = f"{_PREFIX}{vm}"
         self._announcements = announcements
         self._wall_ms = wall_ms
         self._saved: frozenset[tuple[str, int, bool]] = frozenset()
-        self._restoring: asyncio.Task[None] | None = None
-        self._writing: asyncio.Task[None] | None = None
+        self._restore_task: asyncio.Task[None] | None = None
+        self._write_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to read what was kept."""
-        self._reading()
+        """Start to read the row of an earlier process."""
+        self._start_restore()
 
     async def restored(self) -> None:
-        """Return once the row was read, or after a while without it.
+        """Wait until the row was read, for up to `WAIT_MAX_S`.
 
-        With the platform away the daemon can't know; a target that serves is
-        worth more than what a rare delayed announcement costs.
+        During an outage of the platform the row is unavailable. Serving its target
+        without the row is worth more than a rare delayed announcement costs.
         """
-        if not self._reading().done():
-            await asyncio.wait([self._reading()], timeout=WAIT_MAX_S)
+        if not self._start_restore().done():
+            await asyncio.wait([self._start_restore()], timeout=WAIT_MAX_S)
 
     async def save(self) -> None:
-        """Write what is new, and return once it is kept or after a while."""
-        wanted = self._wanted()
-        if wanted == self._saved:
+        """Write changed departures, and wait for that up to `WAIT_MAX_S`.
+
+        A write that takes longer continues in the background.
+        """
+        current = self._current_departures()
+        if current == self._saved:
             return
-        self._saved = wanted
-        if self._writing is not None:
-            self._writing.cancel()
-        self._writing = asyncio.get_running_loop().create_task(self._write())
-        await asyncio.wait([self._writing], timeout=WAIT_MAX_S)
+        self._saved = current
+        if self._write_task is not None:
+            self._write_task.cancel()
+        self._write_task = asyncio.get_running_loop().create_task(self._write())
+        await asyncio.wait([self._write_task], timeout=WAIT_MAX_S)
 
-    def _reading(self) -> asyncio.Task[None]:
+    def _start_restore(self) -> asyncio.Task[None]:
         """Return the task that reads the row, which the first call starts."""
-        if self._restoring is None:
-            self._restoring = asyncio.get_running_loop().create_task(self._restore())
-        return self._restoring
+        if self._restore_task is None:
+            self._restore_task = asyncio.get_running_loop().create_task(self._restore())
+        return self._restore_task
 
-    def _wanted(self) -> frozenset[tuple[str, int, bool]]:
-        """Return what the row has to say; a target that drains says so repeatedly."""
+    def _current_departures(self) -> frozenset[tuple[str, int, bool]]:
+        """Return the content that the row needs.
+
+        Sequences are reduced to whether they are the last one, as a draining target
+        repeats its announcement and needs no write for each.
+        """
         return frozenset(
             (item.name, item.start_ms, item.sequence == LAST_SEQUENCE)
             for item in self._announcements.departures()
@@ -99,40 +107,40 @@
     async def _restore(self) -> None:
         if self._is_first_start:
             return
-        found = await call_until_answered(lambda: self._table.read_rows(_PREFIX))
-        rows = [row for row in found if row.key == self._key]
-        oldest_ms = self._wall_ms() - KEPT_MS
-        self._old_keys = [
+        all_rows = await call_until_answered(lambda: self._table.read_rows(_PREFIX))
+        rows = [row for row in all_rows if row.key == self._key]
+        oldest_ms = self._wall_ms() - RETENTION_MS
+        self._expired_keys = [
             row.key
-            for row in found
+            for row in all_rows
             if row.key != self._key and _newest_ms(row) < oldest_ms
         ]
-        kept = [item for row in rows for item in _iter_departures(row)]
-        kept = [item for item in kept if item.recorded_ms >= oldest_ms]
-        self._announcements.restore(kept)
-        if kept:
-            self._saved |= self._wanted()
-            names = [item.name for item in kept]
+        recent = [item for row in rows for item in _iter_departures(row)]
+        recent = [item for item in recent if item.recorded_ms >= oldest_ms]
+        self._announcements.restore(recent)
+        if recent:
+            self._saved |= self._current_departures()
+            names = [item.name for item in recent]
             log.info(Event.DEPARTURES_RESTORED, targets=names)
 
     async def _write(self) -> None:
-        # Else a daemon that restarted would write over what it kept before.
-        await asyncio.shield(self._reading())
-        oldest_ms = self._wall_ms() - KEPT_MS
+        # Otherwise a restarted daemon would overwrite the departures of its row.
+        await asyncio.shield(self._start_restore())
+        oldest_ms = self._wall_ms() - RETENTION_MS
         departures = self._announcements.departures()
-        kept = [astuple(item) for item in departures if item.recorded_ms >= oldest_ms]
-        row = Row(self._key, json.dumps(kept))
+        recent = [astuple(item) for item in departures if item.recorded_ms >= oldest_ms]
+        row = Row(self._key, json.dumps(recent))
         await call_until_answered(lambda: self._table.commit((), (row,)))
-        await self._delete_old()
+        await self._delete_expired()
 
-    async def _delete_old(self) -> None:
-        """Delete rows that counted no more at the start, as of VMs that are gone."""
-        old, self._old_keys = self._old_keys, []
-        await delete_some(self._table, old)
+    async def _delete_expired(self) -> None:
+        """Delete rows that had expired at the start, such as those of removed VMs."""
+        expired_keys, self._expired_keys = self._expired_keys, []
+        await delete_batch(self._table, expired_keys)
 
 
 def _iter_departures(row: Row) -> Iterator[Departure]:
-    """Yield what a row says; another release may write what can't be read."""
+    """Yield the departures of a row; log one that another release wrote unreadably."""
     try:
         for name, start_ms, sequence, recorded_ms in parse_json(row.value):
             yield Departure(str(name), int(start_ms), int(sequence), int(recorded_ms))
@@ -141,8 +149,8 @@
 
 
 def _newest_ms(row: Row) -> int:
-    """Return when the last departure of a row was noted, 0 if it can't be read."""
+    """Return when the last departure of a row was recorded, 0 if it is unreadable."""
     return max((item.recorded_ms for item in _iter_departures(row)), default=0)
 
 
-__all__ = ["KEPT_MS", "WAIT_MAX_S", "DepartureRows"]
+__all__ = ["RETENTION_MS", "WAIT_MAX_S", "DepartureRows"]
--- a/packages/pepperstaird/pepperstaird/quarantine_rows.py
+++ b/packages/pepperstaird/pepperstaird/quarantine_rows.py
@@ -1,4 +1,4 @@
-"""The quarantined requests, kept in the platform's table for daemons that start."""
+"""Quarantined requests, persisted on the platform for daemons that start."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from pepperstair_core.json_text import parse_json
 from pepperstair_platform import Row, RowTable
 
-from .row_calls import call_until_answered, delete_some
+from .row_calls import call_until_answered, delete_batch
 
 log = structlog.get_logger(__name__)
 
@@ -23,9 +23,10 @@
 
 
 class QuarantineRows:
-    """Keeps one row for each quarantined request.
+    """Persists one row for each quarantined request.
 
-    With `is_first_start` there are no rows of an earlier process to read.
+    With `is_first_start` nothing is read at the start, as there was no earlier
+    process.
     """
 
     def __init__(
@@ -34,48 +35,50 @@
         self._table = table
         self._wall_ms = wall_ms
         self._is_first_start = is_first_start
-        self._writing: dict[bytes, asyncio.Task[None]] = {}
-        self._reading: asyncio.Task[None] | None = None
-        self._on_read: Callable[[Iterable[CrashRecord]], None] = lambda kept: None
+        self._write_tasks: dict[bytes, asyncio.Task[None]] = {}
+        self._read_task: asyncio.Task[None] | None = None
+        self._on_read: Callable[[Iterable[CrashRecord]], None] = lambda stored: None
 
     def start(self, on_read: Callable[[Iterable[CrashRecord]], None]) -> None:
-        """Read what was kept, and hand over what is read now and later."""
+        """Read the rows, and register the callback for records that are read."""
         self._on_read = on_read
         if not self._is_first_start:
             self.read()
 
     def read(self) -> None:
-        """Read what any daemon has kept, unless that is under way."""
-        if self._reading is None or self._reading.done():
-            self._reading = _run(self._read())
+        """Start to read the rows of all daemons, unless a read is in progress."""
+        if self._read_task is None or self._read_task.done():
+            self._read_task = _create_task(self._read())
 
     def save(self, record: CrashRecord) -> None:
-        """Write the row of a quarantined request, in place of an earlier one."""
+        """Write the row of a quarantined request, and cancel an earlier write of it."""
         fingerprint = record.fingerprint
-        earlier = self._writing.pop(fingerprint, None)
+        earlier = self._write_tasks.pop(fingerprint, None)
         if earlier is not None:
             earlier.cancel()
-        self._writing[fingerprint] = _run(self._write(record))
+        self._write_tasks[fingerprint] = _create_task(self._write(record))
 
     def close(self) -> None:
         """Stop reading and writing."""
-        for task in (self._reading, *self._writing.values()):
+        for task in (self._read_task, *self._write_tasks.values()):
             if task is not None:
                 task.cancel()
 
     async def _read(self) -> None:
         rows = await call_until_answered(lambda: self._table.read_rows(_PREFIX))
         oldest_ms = self._wall_ms() - QUARANTINE_MAX_MS
-        kept = [
+        stored = [
             (row, record, recorded_ms)
             for row in rows
             for record, recorded_ms in _iter_records(row)
         ]
         self._on_read(
-            found for _, found, recorded_ms in kept if recorded_ms >= oldest_ms
+            recent for _, recent, recorded_ms in stored if recorded_ms >= oldest_ms
         )
-        old = (row.key for row, _, recorded_ms in kept if recorded_ms < oldest_ms)
-        await delete_some(self._table, old)
+        expired_keys = (
+            row.key for row, _, recorded_ms in stored if recorded_ms < oldest_ms
+        )
+        await delete_batch(self._table, expired_keys)
 
     async def _write(self, record: CrashRecord) -> None:
         value = json.dumps([record.crash_ids, self._wall_ms()])
@@ -83,12 +86,12 @@
         await call_until_answered(lambda: self._table.commit((), (row,)))
 
 
-def _run(coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+def _create_task(coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
     return asyncio.get_running_loop().create_task(coroutine)
 
 
 def _iter_records(row: Row) -> Iterator[tuple[CrashRecord, int]]:
-    """Yield what a row says; another release may write what can't be read."""
+    """Yield the record of a row; log one that another release wrote unreadably."""
     try:
         fingerprint = bytes.fromhex(row.key.removeprefix(_PREFIX))
         crash_ids, recorded_ms = parse_json(row.value)
