--- a/packages/pepperstaird/pepperstaird/__init__.py
+++ b/packages/pepperstaird/pepperstaird/__init__.py
@@ -1,4 +1,4 @@
-"""The pepperstair daemon: proxy, agent beside targets and node of the fleet."""
+"""The pepperstair daemon: caller proxy, agent for local targets and fleet member."""
 
 from __future__ import annotations
 
--- a/packages/pepperstaird/pepperstaird/__main__.py
+++ b/packages/pepperstaird/pepperstaird/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of the daemon."""
+"""Command line of the daemon."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class _Parser(argparse.ArgumentParser):
-    """Says what is wrong with the arguments on one line."""
+    """Reports invalid arguments on one line, without the usage text."""
 
     def error(self, message: str) -> NoReturn:
         print(f"{self.prog}: {message}", file=sys.stderr)
@@ -29,10 +29,10 @@
 
 
 def main() -> None:
-    """Run the daemon, or only check its settings."""
+    """Parse the arguments, run the daemon and exit with its exit code."""
     ignore_hangup()
-    # The operators' command line uses cyclopts. Here it would cost 3 of the
-    # 32 MB that the daemon may use, for two options.
+    # Not cyclopts, which the operators' command line uses: it would take 3 MB of
+    # the daemon's memory limit of 32 MB for two options.
     parser = _Parser(
         prog="pepperstaird",
         description="Run the pepperstair daemon on this VM.",
@@ -53,7 +53,10 @@
 
 
 def run(settings: Path, check: bool) -> int:
-    """Read the settings and run until the daemon has stopped."""
+    """Run the daemon until it stops, or only check its settings.
+
+    Return the exit code of the process.
+    """
     read = read_settings(settings)
     if read.is_err():
         for fault in read.unwrap_err():
@@ -63,17 +66,17 @@
         print(f"{settings}: settings are valid")
         return EXIT_OK
     light_imports.leave_out()
-    opened = listen_at(read.unwrap().callers.address)
-    # Imported only now, since asyncio and structlog are what brings in the
-    # libraries that have just been left out.
+    callers_socket = listen_at(read.unwrap().callers.address)
+    # Imported only here: these modules import asyncio and structlog, which would
+    # otherwise import the libraries that have just been blocked.
     from .product import product_edges
     from .running import run_daemon
 
-    return run_daemon(read.unwrap(), product_edges(), opened)
+    return run_daemon(read.unwrap(), product_edges(), callers_socket)
 
 
 def read_settings(path: Path) -> Result[Settings, list[Fault]]:
-    """Read settings from a file; an unreadable file is one fault."""
+    """Return the settings in a file, or its faults; an unreadable file is one fault."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/packages/pepperstaird/pepperstaird/clock.py
+++ b/packages/pepperstaird/pepperstaird/clock.py
@@ -1,4 +1,4 @@
-"""The clocks of the daemon, in milliseconds."""
+"""Clocks of the daemon, in milliseconds."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 
 def monotonic_ms() -> int:
-    """Return a time that never goes back, for leases and timeouts."""
+    """Return the monotonic time, for leases and timeouts."""
     return time.monotonic_ns() // 1_000_000
 
 
 def boot_ms() -> int:
-    """Return a time that also counts while the VM is suspended.
+    """Return the time since boot, which includes the time the VM was suspended.
 
-    A suspended VM goes on with a steady clock that has not moved; only the time
-    since boot shows that others have waited for it.
+    The monotonic clock does not advance while the VM is suspended, so only this
+    clock shows how long other daemons have waited for this one.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
 
 def precise_ms() -> float:
-    """Return the same time with its fractions, for calls shorter than 1 ms."""
+    """Return the monotonic time with fractions, for calls shorter than 1 ms."""
     return time.monotonic_ns() / 1_000_000
 
 
 def wall_ms() -> int:
-    """Return the time of day, for what people read and for start ids."""
+    """Return the Unix time, for times shown to people and for start ids."""
     return time.time_ns() // 1_000_000
 
 
--- a/packages/pepperstaird/pepperstaird/counters.py
+++ b/packages/pepperstaird/pepperstaird/counters.py
@@ -1,4 +1,4 @@
-"""The counts that `status` and the metrics show, each with its meaning."""
+"""Counters and gauges shown by `status` and the metrics, with their descriptions."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def iter_docs(cls: type[Struct]) -> Iterator[tuple[str, str]]:
-    """Yield each count of a struct with the sentence that its page has for it."""
+    """Yield the name and the description of each annotated field of a struct."""
     for item in structs.fields(cls):
         if get_origin(item.type) is Annotated:
             yield item.name, item.type.__metadata__[0].description
 
 
 class DaemonCounters(Struct, frozen=True):
-    """What happened since the daemon was started; counts only rise."""
+    """Counters of events since the start of the daemon; they never decrease."""
 
     n_calls: Annotated[int, Meta(description="Requests of callers.")] = 0
     n_calls_failed: Annotated[
@@ -156,13 +156,13 @@
     frames: tuple[tuple[str, int], ...] = ()
 
     def iter_named(self) -> Iterator[tuple[str, int]]:
-        """Yield every count, those by kind of frame last."""
+        """Yield the name and value of every counter, those by kind of frame last."""
         for name, _ in iter_docs(DaemonCounters):
             yield name, getattr(self, name)
         yield from self.frames
 
 
-# Counted by kind of frame, whose name in lower case ends the count's name.
+# Counters by kind of frame; the name of the kind in lower case ends their names.
 FRAME_COUNTS: Final = (
     ("n_control_sent_frames", "Frames sent on control streams, by kind."),
     ("n_control_sent_bytes", "Bytes sent on control streams, by kind of frame."),
@@ -172,7 +172,7 @@
 
 
 class DaemonGauges(Struct, frozen=True):
-    """What holds right now."""
+    """Gauges: current values of the daemon."""
 
     n_members: Annotated[int, Meta(description="Members that are not gone.")] = 0
     n_targets: Annotated[int, Meta(description="Targets announced to this daemon.")] = 0
@@ -198,7 +198,7 @@
 
 
 def read_counters(daemon: Daemon) -> DaemonCounters:
-    """Collect the counts of all parts of a daemon."""
+    """Return the counters of all components of a daemon."""
     frames = (
         named
         for kind, counters in daemon.frame_counters.items()
@@ -249,7 +249,7 @@
 
 
 def read_gauges(daemon: Daemon) -> DaemonGauges:
-    """Collect what holds right now in all parts of a daemon."""
+    """Return the current values of all components of a daemon."""
     return DaemonGauges(
         n_members=sum(member.is_usable for member in daemon.directory.members()),
         n_targets=len(daemon.registry.targets()),
@@ -257,7 +257,7 @@
         n_calls_in_flight=daemon.runner.n_in_flight,
         n_requests_in_flight=daemon.proxy.n_in_flight,
         n_requests_quarantined=daemon.quarantine.n_quarantined(precise_ms()),
-        # Below zero a gauge of statsd would count as a difference.
+        # statsd treats a negative value of a gauge as a decrement.
         configuration_age_ms=max(0, daemon.configuration.age_ms()),
     )
 
--- a/packages/pepperstaird/pepperstaird/daemon.py
+++ b/packages/pepperstaird/pepperstaird/daemon.py
@@ -1,4 +1,4 @@
-"""Puts the parts of the daemon on one event loop."""
+"""Builds the components of the daemon and connects them on one event loop."""
 
 from __future__ import annotations
 
@@ -67,21 +67,21 @@
 
 log = structlog.get_logger(__name__)
 
-_LEASE_CHECK_S: Final = 0.25
-# Members that change within this time are taken together.
-_BURST_S: Final = 0.01
+_LEASE_CHECK_INTERVAL_S: Final = 0.25
+# Changes of members within this time are processed as one batch.
+_MEMBER_BATCH_S: Final = 0.01
 
 
 class Daemon:
-    """One daemon: all its parts, and the functions that join them."""
+    """A daemon: all its components and the callbacks that connect them."""
 
     def __init__(self, settings: Settings, edges: Edges) -> None:
         self.settings = settings
         self.edges = edges
         self.is_stopping = False
-        self.stop_ends_ms = math.inf
+        self.stop_deadline_ms = math.inf
         self.started_ms = precise_ms()
-        self._alive: dict[str, int] = {}
+        self._alive_incarnations: dict[str, int] = {}
         self.body_max_bytes = settings.callers.body_max_bytes
         self.rng = random.Random()
         self.decisions = DecisionLog()
@@ -184,7 +184,7 @@
         self.call_server.loads = self.runner.loads
         self.call_server.was_paused = self.control.check_pause
         self.control.on_paused = self._on_paused
-        self.control.on_members_changed = self._members_changed
+        self.control.on_members_changed = self._schedule_member_update
         self.proxy = Proxy(make_proxy_context(self))
         self.callers = HttpServer(
             self.proxy.handle,
@@ -203,11 +203,14 @@
         operators = OperatorServer(settings.operators)
         edges.add_operations(operators, self)
         self.operators = HttpServer(operators.handle, ServerLimits())
-        self.further_servers = (*edges.iter_servers(self), *self._iter_metrics_server())
+        self.additional_servers = (
+            *edges.iter_servers(self),
+            *self._iter_metrics_server(),
+        )
         self.endpoint_table = EndpointTable()
         self.registry.on_changed = self.publish_targets
-        self.configuration.on_changed = lambda snapshot: self._renew_endpoints()
-        self.configuration.on_converged = self._count_convergence
+        self.configuration.on_changed = lambda snapshot: self._rebuild_endpoints()
+        self.configuration.on_converged = self._record_convergence
         self._members_timer: asyncio.TimerHandle | None = None
         self._lease_task: asyncio.Task[None] | None = None
         self._settings_task: asyncio.Task[None] | None = None
@@ -218,32 +221,32 @@
         return self.configuration.reached_by
 
     def is_ready(self) -> bool:
-        """Return whether the daemon may carry calls."""
+        """Return whether the daemon may proxy calls."""
         self.control.check_pause()
         return self.configuration.is_floor_known
 
     @property
     def is_welcoming(self) -> bool:
-        """Return whether callers should go on choosing this daemon."""
+        """Return whether callers should continue to use this daemon."""
         return self.is_ready() and not self.is_stopping
 
-    def _members_changed(self) -> None:
-        """Take changed members a little later, those of one burst together."""
+    def _schedule_member_update(self) -> None:
+        """Schedule one update for all changes of members within a short time."""
         if self._members_timer is None:
             loop = asyncio.get_running_loop()
-            self._members_timer = loop.call_later(_BURST_S, self._take_members)
+            self._members_timer = loop.call_later(_MEMBER_BATCH_S, self._update_members)
 
-    def _take_members(self) -> None:
+    def _update_members(self) -> None:
         self._members_timer = None
         self.configuration.members_changed()
-        self._forgive_returned()
-        self._renew_endpoints()
+        self._clear_ejections_of_returned()
+        self._rebuild_endpoints()
 
-    def _forgive_returned(self) -> None:
-        """Use targets again whose VM has come back since they were ejected.
+    def _clear_ejections_of_returned(self) -> None:
+        """Clear the ejections of targets whose VM has rejoined or restarted.
 
-        The ejection of a target that nobody could reach may last for half a
-        minute, while its VM says that it is here again.
+        An unreachable target may stay ejected for half a minute although its VM
+        has already announced that it is alive again.
         """
         returned = {
             member.vm: member.incarnation
@@ -251,26 +254,29 @@
             if member.state is MemberState.ALIVE
         }
         for vm, incarnation in returned.items():
-            if self._alive.get(vm) != incarnation:
+            if self._alive_incarnations.get(vm) != incarnation:
                 self.chooser.forgive(vm)
-        self._alive = returned
+        self._alive_incarnations = returned
 
     def _on_paused(self) -> None:
-        """Stop carrying calls until the configuration has caught up."""
+        """Stop proxying calls until the configuration is up to date again."""
         self.configuration.catch_up()
         self.call_server.reset_streams()
 
-    async def start(self, opened: socket.socket | None = None) -> None:
-        """Listen on every address and begin to join the fleet.
+    async def start(self, callers_socket: socket.socket | None = None) -> None:
+        """Listen on every address and start to join the fleet.
 
-        `opened` is the socket for callers, where it listens already.
+        `callers_socket` is the listening socket for callers if it is already open.
+        Raise OSError if an address can't be bound.
         """
         settings = self.settings
         await self.operators.listen(*parse_address(settings.operators.address))
         await self.listener.listen(*parse_address(settings.peers.address))
-        await self.callers.listen(*parse_address(settings.callers.address), opened)
-        for further in self.further_servers:
-            await further.server.listen(*parse_address(further.address))
+        await self.callers.listen(
+            *parse_address(settings.callers.address), callers_socket
+        )
+        for additional in self.additional_servers:
+            await additional.server.listen(*parse_address(additional.address))
         self.configuration.start()
         self.control.start()
         self.member_table.start()
@@ -284,11 +290,11 @@
         log.info(Event.STARTED, peer_address=self.identity.peer_address)
 
     async def stop(self) -> None:
-        """Finish what is in flight, refuse the rest as not run, then close."""
+        """Finish the calls in flight, refuse new ones as not run, then close."""
         await stop_daemon(self)
 
     def close(self) -> None:
-        """Cancel what runs beside the calls and close every connection."""
+        """Cancel the background tasks and close every connection."""
         self._lease_task.cancel()
         if self._members_timer is not None:
             self._members_timer.cancel()
@@ -304,8 +310,8 @@
         self.runner.close()
         self.callers.close()
         self.operators.close()
-        for further in self.further_servers:
-            further.server.close()
+        for additional in self.additional_servers:
+            additional.server.close()
         self.platform.close()
 
     def _iter_metrics_server(self) -> Iterator[FurtherServer]:
@@ -314,10 +320,10 @@
             server = HttpServer(self.exposition.handle, ServerLimits())
             yield FurtherServer(server, address)
 
-    def _count_convergence(self, customer: str, convergence_ms: int) -> None:
+    def _record_convergence(self, customer: str, convergence_ms: int) -> None:
         self.burn.add_convergence(customer, monotonic_ms(), convergence_ms)
 
-    def _renew_endpoints(self) -> None:
+    def _rebuild_endpoints(self) -> None:
         self.endpoint_table = EndpointTable(
             self.directory.members(),
             self.configuration.overrides,
@@ -335,7 +341,7 @@
         return policies.find(customer, labels)
 
     def publish_targets(self) -> None:
-        """Tell the fleet which targets this VM has, and whether it leaves."""
+        """Announce the targets of this VM to the fleet, as draining during a stop."""
         self.runner.follow_registry()
         targets = self.registry.targets()
         if self.is_stopping:
@@ -344,11 +350,11 @@
             )
         own = self.directory.own()
         self.control.publish(replace(own, sequence=own.sequence + 1, targets=targets))
-        self._renew_endpoints()
+        self._rebuild_endpoints()
 
     async def _check_leases(self) -> None:
         while True:
-            await asyncio.sleep(_LEASE_CHECK_S)
+            await asyncio.sleep(_LEASE_CHECK_INTERVAL_S)
             self.registry.expire(monotonic_ms())
 
 
--- a/packages/pepperstaird/pepperstaird/early_listening.py
+++ b/packages/pepperstaird/pepperstaird/early_listening.py
@@ -1,9 +1,9 @@
-"""Listening for callers before anything else of the daemon is there.
+"""Opens the listening socket for callers before the rest of the daemon is imported.
 
-A daemon that was killed comes back after a while, most of which its imports take.
-Callers that try to connect meanwhile are turned away by the system, and those with few
-retries have used them up before the daemon is there. With the address open from the
-first moment, their connections wait for the rest of the start.
+Imports take most of the time in which a killed daemon restarts. Until the daemon
+listens, the kernel refuses connections, and callers with few retries use them up. With
+the socket open from the start, their connections wait in its backlog until the daemon
+accepts them.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 import tomllib
 from typing import Final
 
-# As of the server that takes the socket over, which is not imported yet.
+# The backlog of HttpServer, which takes over the socket but is not imported yet.
 _BACKLOG: Final = 1024
 
 
 def open_callers_socket(text: str) -> socket.socket | None:
-    """Return a socket that listens at the callers' address, or None.
+    """Return a socket that listens on the callers' address, or None.
 
-    `text` holds settings that are not read yet. What is wrong with them is reported
-    when they are.
+    `text` is the TOML text of settings that are not validated yet. Faults in it are
+    reported later, when the settings are parsed.
     """
     try:
         address = str(tomllib.loads(text)["callers"]["address"])
@@ -30,24 +30,23 @@
 
 
 def listen_at(address: str) -> socket.socket | None:
-    """Return a socket that listens at an address, or None.
+    """Return a socket that listens on an address, or None if that fails.
 
-    Whatever is wrong with the address is reported by the start itself, which then
-    tries for itself.
+    The daemon then binds the address itself during its start and reports the error.
     """
-    host, found, port = address.rpartition(":")
-    if not found or not port.isdecimal():
+    host, separator, port = address.rpartition(":")
+    if not separator or not port.isdecimal():
         return None
-    opened = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        # Connections of the process before it may still be closing.
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        opened.bind((host, int(port)))
-        opened.listen(_BACKLOG)
+        # Connections of the previous process may still be closing.
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind((host, int(port)))
+        listener.listen(_BACKLOG)
     except (OSError, OverflowError):
-        opened.close()
+        listener.close()
         return None
-    return opened
+    return listener
 
 
 __all__ = ["listen_at", "open_callers_socket"]
--- a/packages/pepperstaird/pepperstaird/hangup.py
+++ b/packages/pepperstaird/pepperstaird/hangup.py
@@ -1,4 +1,4 @@
-"""What SIGHUP does to a daemon that is only starting."""
+"""Handling of SIGHUP while the daemon starts."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 def ignore_hangup() -> None:
-    """Ignore SIGHUP until the daemon has its own way to take it.
+    """Ignore SIGHUP until the daemon installs its own handler.
 
-    The signal says that the settings have changed, and ends a process that does not
-    handle it. A VM whose daemon has just been killed gets one while the next daemon
-    is importing its modules, for some tenths of a second, and would stay without a
-    daemon for that time once more. Nothing is lost by ignoring it: the settings are
-    read after this.
+    SIGHUP announces changed settings, and its default action ends the process. A VM
+    whose daemon was just killed may get one while the next daemon imports its
+    modules, which takes some tenths of a second; ending that process would leave the
+    VM without a daemon for that time again. Ignoring the signal loses no change, as
+    the settings are read later.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
--- a/packages/pepperstaird/pepperstaird/light_imports.py
+++ b/packages/pepperstaird/pepperstaird/light_imports.py
@@ -1,10 +1,11 @@
-"""Keeps unused libraries out of the daemon; called before anything imports them.
-
-structlog imports rich for coloured tracebacks wherever it is installed, as it is
-where the operators' command line shares the environment; asyncio imports ssl, and
-hashlib the OpenSSL form of hashes that it also has built in. The daemon writes JSON
-and speaks plain TCP, and needs none of their memory. Each importer does without them
-when the import fails; ssl leaves this list when the daemon speaks TLS.
+"""Blocks the import of unused libraries, to save their memory in the daemon.
+
+`leave_out` has to be called before anything imports them. structlog imports rich for
+coloured tracebacks if it is installed, as it is in an environment shared with the
+operators' command line; asyncio imports ssl; hashlib imports the OpenSSL
+implementations of hashes that are also built in. The daemon writes JSON logs and uses
+plain TCP, so it needs none of them. Each importer has a fallback for a failed import.
+Remove ssl from the list when the daemon supports TLS.
 """
 
 from __future__ import annotations
@@ -12,23 +13,23 @@
 import sys
 from typing import Final
 
-ABSENT_MODULES: Final = ("rich", "ssl", "_hashlib")
+BLOCKED_MODULES: Final = ("rich", "ssl", "_hashlib")
 
 
 def leave_out() -> None:
-    """Make the imports of these modules fail, unless they are there already."""
-    for name in ABSENT_MODULES:
+    """Make imports of the blocked modules fail, unless they are already imported."""
+    for name in BLOCKED_MODULES:
         sys.modules.setdefault(name, None)
 
 
 def bring_back() -> None:
-    """Let these modules be imported again, for a library that needs them.
+    """Allow the import of the blocked modules again, for a library that needs them.
 
-    What has done without them so far goes on doing so.
+    Modules that were imported without them keep their fallbacks.
     """
-    for name in ABSENT_MODULES:
+    for name in BLOCKED_MODULES:
         if sys.modules.get(name, sys) is None:
             del sys.modules[name]
 
 
-__all__ = ["ABSENT_MODULES", "bring_back", "leave_out"]
+__all__ = ["BLOCKED_MODULES", "bring_back", "leave_out"]
--- a/packages/pepperstaird/pepperstaird/logs.py
+++ b/packages/pepperstaird/pepperstaird/logs.py
@@ -1,4 +1,4 @@
-"""Logs as one JSON line an event on standard output, never waited for."""
+"""Logging of events as JSON lines to standard output, without blocking."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
 
 log = structlog.get_logger(__name__)
 
-# A daemon writes some lines a second when all is well and one or two for each
-# call that fails. Beyond this rate more lines would tell nothing new, and
-# writing them would take processor time from the calls.
+# A healthy daemon writes a few lines per second, and one or two for each failed call.
+# Above this rate, further lines carry no new information, and writing them would take
+# CPU time from the calls.
 LINES_PER_S: Final = 200
 LINES_BURST: Final = 1_000
-_STANDARD_OUTPUT: Final = 1
+_STDOUT_DESCRIPTOR: Final = 1
 
 
 class LineWriter:
-    """Writes lines to a file descriptor that may not take them.
+    """Writes lines to a non-blocking file descriptor and drops those it can't write.
 
-    Whatever reads the logs can be slow or stand still. A blocked write would
-    hold up every call of the VM, so what can't be written at once is dropped;
-    the next line that can be written says how many were.
+    The reader of the logs may be slow or hang. A blocking write would delay every
+    call of the VM, so a line that can't be written at once is dropped, and the next
+    line that is written is followed by the number of dropped lines. Lines above
+    `LINES_PER_S` are dropped too, beyond a burst of `LINES_BURST`.
     """
 
     def __init__(
@@ -36,11 +37,11 @@
         self._descriptor = descriptor
         self._now_s = now_s
         self._n_tokens = float(LINES_BURST)
-        self._filled_s = now_s()
+        self._refilled_s = now_s()
         self.n_dropped = 0
 
     def msg(self, line: str) -> None:
-        """Write one line, or drop it."""
+        """Write one line, or drop and count it."""
         if not self._take_token():
             self.n_dropped += 1
             return
@@ -51,7 +52,7 @@
         try:
             os.write(self._descriptor, f"{line}\n".encode())
         except OSError:
-            # Nobody reads (a full or closed pipe): there is nowhere to say so.
+            # The pipe is full or closed, so the error can't be logged either.
             self.n_dropped += 1
             return
         self.n_dropped = 0
@@ -60,9 +61,9 @@
 
     def _take_token(self) -> bool:
         now_s = self._now_s()
-        self._n_tokens += (now_s - self._filled_s) * LINES_PER_S
+        self._n_tokens += (now_s - self._refilled_s) * LINES_PER_S
         self._n_tokens = min(float(LINES_BURST), self._n_tokens)
-        self._filled_s = now_s
+        self._refilled_s = now_s
         if self._n_tokens < 1.0:
             return False
         self._n_tokens -= 1.0
@@ -70,9 +71,9 @@
 
 
 def configure_logs(vm: str) -> None:
-    """Set structlog up for this process; every line names the VM."""
-    os.set_blocking(_STANDARD_OUTPUT, False)
-    writer = LineWriter(_STANDARD_OUTPUT)
+    """Configure structlog for this process; every line names the VM."""
+    os.set_blocking(_STDOUT_DESCRIPTOR, False)
+    writer = LineWriter(_STDOUT_DESCRIPTOR)
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
@@ -88,10 +89,10 @@
 
 
 def log_loop_error(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log what a task or callback raised and nobody took, as the loop reports it.
+    """Log an unhandled exception of a task or callback; the loop's exception handler.
 
-    asyncio's own handler would print a traceback of many lines among the JSON,
-    which log collectors drop or cut, so that nobody would see the fault.
+    asyncio's default handler would print a traceback of many lines between the JSON
+    lines. Log collectors drop or truncate such lines, so the error would go unnoticed.
     """
     log.error(
         Event.INTERNAL_ERROR,
--- a/packages/pepperstaird/pepperstaird/metrics.py
+++ b/packages/pepperstaird/pepperstaird/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics to statsd over UDP, which never make a call wait."""
+"""Sends metrics to statsd over UDP, without delaying calls."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 log = structlog.get_logger(__name__)
 
 _PREFIX: Final = "pepperstair"
-# Below the smallest MTU in use, so that no datagram is cut into fragments.
+# Below the smallest MTU in use, so that no datagram is fragmented.
 DATAGRAM_MAX_BYTES: Final = 1400
 _COUNTER_UNIT: Final = "count since the last sending"
 
 
 class Metric(Struct, frozen=True):
-    """One metric as the page of metrics lists it."""
+    """A metric as listed in the documentation of the metrics."""
 
     name: str
     unit: str
@@ -36,28 +36,28 @@
 
 
 def iter_metrics() -> Iterator[Metric]:
-    """Yield every metric that a daemon sends."""
+    """Yield the description of every metric that a daemon sends."""
     for name, doc in iter_docs(DaemonCounters):
-        yield Metric(_short(name), _COUNTER_UNIT, doc)
+        yield Metric(_metric_name(name), _COUNTER_UNIT, doc)
     for name, doc in FRAME_COUNTS:
-        yield Metric(f"{_short(name)}_<kind>", _COUNTER_UNIT, doc)
+        yield Metric(f"{_metric_name(name)}_<kind>", _COUNTER_UNIT, doc)
     for name, doc in iter_docs(DaemonGauges):
-        yield Metric(_short(name), "gauge", doc)
+        yield Metric(_metric_name(name), "gauge", doc)
     for priority in PRIORITIES:
         for percentile in PERCENTILES:
             doc = f"Time of {priority} calls, percentile {percentile}."
-            yield Metric(_timing_name(priority, percentile), "gauge in ms", doc)
+            yield Metric(_duration_name(priority, percentile), "gauge in ms", doc)
 
 
 class LineBuffer(StatsClientBase):
-    """The statsd library's formatting, kept as lines instead of sent."""
+    """Collects the lines that the statsd library formats instead of sending them."""
 
     def __init__(self, prefix: str) -> None:
         self._prefix = prefix
         self._lines: list[bytes] = []
 
-    def take(self) -> list[bytes]:
-        """Return the lines formatted so far and forget them."""
+    def pop_lines(self) -> list[bytes]:
+        """Return and clear the lines formatted so far."""
         lines, self._lines = self._lines, []
         return lines
 
@@ -65,7 +65,7 @@
         """Do nothing, as there is no socket."""
 
     def pipeline(self) -> LineBuffer:
-        """Return the buffer itself, which sends nothing by itself."""
+        """Return the buffer itself, as it already collects lines."""
         return self
 
     def _send(self, data: str) -> None:
@@ -73,10 +73,11 @@
 
 
 class MetricsSender:
-    """Sends counters as differences, gauges and call timings at an interval.
+    """Sends counters as differences, gauges and call durations at an interval.
 
-    A receiver that is away or slow must not make a call wait, nor grow memory:
-    the socket never blocks, and what it does not take is dropped and counted.
+    An unavailable or slow receiver must neither delay calls nor make memory grow:
+    the socket is non-blocking, and metrics that it does not accept are dropped and
+    counted.
     """
 
     def __init__(
@@ -89,36 +90,36 @@
         self._settings = settings
         self._counters = counters
         self._gauges = gauges
-        # Dots part the names of statsd, so a VM's name must not hold any.
+        # Dots separate the parts of statsd names, so a VM's name must not contain any.
         vm_part = vm.replace(".", "_").replace("/", "_")
         self._buffer = LineBuffer(f"{_PREFIX}.{vm_part}")
-        self._sent: dict[str, int] = {}
-        self._timings = {priority: Timings() for priority in PRIORITIES}
+        self._sent_counts: dict[str, int] = {}
+        self._histograms = {priority: Timings() for priority in PRIORITIES}
         self._socket: socket.socket | None = None
         self._task: asyncio.Task[None] | None = None
         self.n_sent = 0
         self.n_dropped = 0
 
     def start(self) -> None:
-        """Begin to send, where the settings name a receiver."""
+        """Start to send at the interval, if the settings name a receiver."""
         if not self._settings.statsd_address:
             return
         self.open()
-        self._task = asyncio.get_running_loop().create_task(self._send_for_ever())
+        self._task = asyncio.get_running_loop().create_task(self._send_periodically())
 
     def open(self) -> None:
         """Open the socket to the receiver."""
         address = parse_address(self._settings.statsd_address)
         self.replace_socket(_open_socket(*address))
 
-    def replace_socket(self, opened: socket.socket) -> None:
-        """Send over another socket from now on."""
+    def replace_socket(self, udp_socket: socket.socket) -> None:
+        """Replace and close the current socket."""
         if self._socket is not None:
             self._socket.close()
-        self._socket = opened
+        self._socket = udp_socket
 
     def close(self) -> None:
-        """Send what is left and stop."""
+        """Send the metrics a last time and close the socket."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -128,63 +129,63 @@
             self._socket = None
 
     def add(self, outcome: CallOutcome) -> None:
-        """Count the time of one call."""
-        timings = self._timings.get(outcome.priority)
-        if timings is not None:
-            timings.add(outcome.duration_ms)
+        """Count the duration of one call."""
+        histogram = self._histograms.get(outcome.priority)
+        if histogram is not None:
+            histogram.add(outcome.duration_ms)
 
     def send(self) -> None:
-        """Send everything once; what the socket does not take is dropped."""
+        """Send all metrics once; what the socket does not accept is dropped."""
         self._write_counters()
         self._write_gauges()
-        self._write_timings()
-        for lines in _iter_datagrams(self._buffer.take()):
+        self._write_durations()
+        for lines in _iter_datagrams(self._buffer.pop_lines()):
             try:
                 self._socket.send(b"\n".join(lines))
                 self.n_sent += len(lines)
             except OSError:
                 self.n_dropped += len(lines)
 
-    async def _send_for_ever(self) -> None:
+    async def _send_periodically(self) -> None:
         while True:
             await asyncio.sleep(self._settings.interval_ms / 1000)
             try:
                 self.send()
             except Exception:
-                # A fault in one part's counts would end this task unseen, and
-                # the graphs of the VM would stop as if it were gone.
+                # An error in the counters of one component would silently end this
+                # task, and the VM's graphs would stop as if it were down.
                 log.exception(Event.INTERNAL_ERROR)
 
     def _write_counters(self) -> None:
         counts = dict(self._counters().iter_named())
         for name, count in counts.items():
-            difference = count - self._sent.get(name, 0)
+            difference = count - self._sent_counts.get(name, 0)
             if difference:
-                self._buffer.incr(_short(name), difference)
-        self._sent = counts
+                self._buffer.incr(_metric_name(name), difference)
+        self._sent_counts = counts
 
     def _write_gauges(self) -> None:
         gauges = self._gauges()
         for name in gauges.__struct_fields__:
-            self._buffer.gauge(_short(name), getattr(gauges, name))
+            self._buffer.gauge(_metric_name(name), getattr(gauges, name))
 
-    def _write_timings(self) -> None:
-        for priority, timings in self._timings.items():
-            for percentile, time_ms in timings.take():
-                name = _timing_name(priority, percentile)
-                self._buffer.gauge(name, round(time_ms, 3))
+    def _write_durations(self) -> None:
+        for priority, histogram in self._histograms.items():
+            for percentile, duration_ms in histogram.pop_percentiles():
+                name = _duration_name(priority, percentile)
+                self._buffer.gauge(name, round(duration_ms, 3))
 
 
 def _open_socket(host: str, port: int) -> socket.socket:
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    opened = socket.socket(family, socket.SOCK_DGRAM)
-    opened.setblocking(False)
-    opened.connect((host, port))
-    return opened
+    udp_socket = socket.socket(family, socket.SOCK_DGRAM)
+    udp_socket.setblocking(False)
+    udp_socket.connect((host, port))
+    return udp_socket
 
 
 def _iter_datagrams(lines: Iterable[bytes]) -> Iterator[list[bytes]]:
-    """Yield the lines in groups that fit one datagram each."""
+    """Yield the lines in groups that each fit in one datagram."""
     group: list[bytes] = []
     n_bytes = 0
     for line in lines:
@@ -197,11 +198,11 @@
         yield group
 
 
-def _short(name: str) -> str:
+def _metric_name(name: str) -> str:
     return name.removeprefix("n_")
 
 
-def _timing_name(priority: str, percentile: int) -> str:
+def _duration_name(priority: str, percentile: int) -> str:
     return f"call_ms.{priority}.p{percentile}"
 
 
--- a/packages/pepperstaird/pepperstaird/operations.py
+++ b/packages/pepperstaird/pepperstaird/operations.py
@@ -1,4 +1,4 @@
-"""What the operators' interface answers, from the parts of the daemon."""
+"""Operations of the operators' interface: intents and target announcements."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def add_operations(server: OperatorServer, daemon: Daemon) -> None:
-    """Serve the reports, changes of intents and announcements of targets."""
+    """Register the reports, changes of intents and announcements of targets."""
     add_reports(server, daemon)
     change_lines = ChangeLines()
 
@@ -41,20 +41,20 @@
         async with change_lines.turn(request.name) as is_turn:
             if is_turn:
                 return await _put_intent(daemon, request)
-        detail = f"changes of {request.name} wait in line"
+        detail = f"earlier changes of {request.name} are still queued"
         return failure_reply(Failure(ErrorKind.BUSY, detail, WAIT_MAX_MS))
 
     async def put_target(request: OperatorRequest) -> OperatorReply:
-        taken = handle_announcement(
+        lease = handle_announcement(
             daemon.registry,
             daemon.settings.vm.labels,
             request.name,
             request.body,
             monotonic_ms(),
         )
-        if taken.is_err():
-            return _faults_reply(ErrorKind.BAD_REQUEST, taken.unwrap_err())
-        return json_reply({"lease_ms": taken.unwrap()})
+        if lease.is_err():
+            return _faults_reply(ErrorKind.BAD_REQUEST, lease.unwrap_err())
+        return json_reply({"lease_ms": lease.unwrap()})
 
     async def delete_target(request: OperatorRequest) -> OperatorReply:
         if not daemon.registry.leave(request.name):
@@ -67,7 +67,7 @@
 
 
 async def _put_intent(daemon: Daemon, request: OperatorRequest) -> OperatorReply:
-    """Accept a change, or refuse the whole of it."""
+    """Commit a change of an intent, or refuse it as a whole."""
     from_version = query_version(request, "from_version")
     if from_version.is_err():
         return failure_reply(from_version.unwrap_err())
@@ -121,8 +121,8 @@
 
 
 def _faults_reply(kind: ErrorKind, faults: list[Fault]) -> OperatorReply:
-    shown = [{"where": fault.where, "expected": fault.expected} for fault in faults]
-    return failure_reply(Failure(kind, "; ".join(map(str, faults))), faults=shown)
+    items = [{"where": fault.where, "expected": fault.expected} for fault in faults]
+    return failure_reply(Failure(kind, "; ".join(map(str, faults))), faults=items)
 
 
 __all__ = ["add_operations"]
--- a/packages/pepperstaird/pepperstaird/proxying.py
+++ b/packages/pepperstaird/pepperstaird/proxying.py
@@ -1,4 +1,4 @@
-"""Gives the proxy what it needs of the daemon around it."""
+"""Provides the proxy with the state and functions of its daemon."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 def make_proxy_context(daemon: Daemon) -> ProxyContext:
-    """Return the state and functions of a daemon that its proxy works with.
+    """Return the state and functions of a daemon that its proxy uses.
 
-    Targets of the own VM are reached through the daemon's runner, all others through
-    the streams to the daemons beside them.
+    Calls to targets of the own VM go through the daemon's runner, calls to all other
+    targets through data streams to the daemons of their VMs.
     """
     vm = daemon.settings.vm.name
 
@@ -33,7 +33,7 @@
         return table.endpoints(compiled.target_selector, compiled.customer)
 
     def load_of(endpoint: Endpoint) -> Load | None:
-        # Exact beside the target, else as the daemon there last reported it.
+        # Exact for local targets, else the last value reported by the remote daemon.
         if endpoint.vm == vm:
             return daemon.runner.load_of(endpoint.target.name)
         return daemon.call_client.load_of(endpoint.peer_address, endpoint.target.name)
@@ -45,7 +45,7 @@
             return await daemon.runner.run(head, body)
         return await daemon.call_client.run(endpoint.peer_address, head, body)
 
-    def count_outcome(outcome: CallOutcome) -> None:
+    def record_outcome(outcome: CallOutcome) -> None:
         daemon.burn.add(outcome, monotonic_ms())
         daemon.metrics.add(outcome)
         daemon.exposition.add(outcome)
@@ -59,9 +59,9 @@
         carry=carry,
         is_ready=daemon.is_ready,
         is_joining=lambda: precise_ms() - daemon.started_ms < JOINING_MS,
-        on_outcome=count_outcome,
+        on_outcome=record_outcome,
         is_draining=lambda: daemon.runner.is_draining,
-        time_to_stop_ms=lambda: daemon.stop_ends_ms - precise_ms(),
+        time_to_stop_ms=lambda: daemon.stop_deadline_ms - precise_ms(),
         decisions=daemon.decisions,
         budget_of=daemon.edges.make_budget_of(daemon),
         retry_budget_percent=daemon.settings.calls.retry_budget_percent,
--- a/packages/pepperstaird/pepperstaird/running.py
+++ b/packages/pepperstaird/pepperstaird/running.py
@@ -1,4 +1,4 @@
-"""The process around a daemon: its event loop, its signals and its exit code."""
+"""Runs a daemon as a process: event loop, signals and exit code."""
 
 from __future__ import annotations
 
@@ -24,48 +24,48 @@
 
 
 def run_daemon(
-    settings: Settings, edges: Edges, opened: socket.socket | None = None
+    settings: Settings, edges: Edges, callers_socket: socket.socket | None = None
 ) -> int:
     """Run a daemon until SIGTERM or SIGINT and return its exit code.
 
-    `opened` is the socket for callers, where it listens already.
+    `callers_socket` is the listening socket for callers if it is already open.
     """
     configure_logs(settings.vm.name)
-    return asyncio.run(_run_until_signal(settings, edges, opened))
+    return asyncio.run(_run_until_signal(settings, edges, callers_socket))
 
 
 async def _run_until_signal(
-    settings: Settings, edges: Edges, opened: socket.socket | None
+    settings: Settings, edges: Edges, callers_socket: socket.socket | None
 ) -> int:
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(log_loop_error)
-    stopping = asyncio.Event()
-    for number in _STOP_SIGNALS:
-        loop.add_signal_handler(number, stopping.set)
+    stop_requested = asyncio.Event()
+    for signal_number in _STOP_SIGNALS:
+        loop.add_signal_handler(signal_number, stop_requested.set)
     daemon = Daemon(settings, edges)
     loop.add_signal_handler(signal.SIGHUP, lambda: edges.reload(daemon))
     try:
-        await daemon.start(opened)
+        await daemon.start(callers_socket)
     except OSError as error:
-        # Another process holds an address, or it is none of this VM: without
-        # this, the operator would search a traceback for which it was.
+        # An address is in use by another process or does not belong to this VM. The
+        # reason names it, so that the operator need not search a traceback.
         log.error(Event.START_FAILED, reason=str(error))
         return EXIT_START_FAILED
-    await stopping.wait()
+    await stop_requested.wait()
     await daemon.stop()
     _ignore_signals(loop)
     return 0
 
 
 def _ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """Let no signal end the process between its loop's end and its own.
+    """Ignore signals between the end of the event loop and the end of the process.
 
-    A closed loop leaves each signal with its default, which would end a daemon that
-    has stopped cleanly with an error code, and its operator would look for a crash.
+    A closed loop restores the default action of each signal. It would end a cleanly
+    stopped daemon with an error code, and the operator would look for a crash.
     """
-    for number in _SIGNALS:
-        loop.remove_signal_handler(number)
-        signal.signal(number, signal.SIG_IGN)
+    for signal_number in _SIGNALS:
+        loop.remove_signal_handler(signal_number)
+        signal.signal(signal_number, signal.SIG_IGN)
 
 
 __all__ = ["EXIT_START_FAILED", "run_daemon"]
--- a/packages/pepperstaird/pepperstaird/stopping.py
+++ b/packages/pepperstaird/pepperstaird/stopping.py
@@ -1,4 +1,4 @@
-"""How a daemon stops without cutting anybody's work."""
+"""Graceful stop of a daemon, without cutting off calls in flight."""
 
 from __future__ import annotations
 
@@ -16,22 +16,23 @@
 
 log = structlog.get_logger(__name__)
 
-_DRAIN_CHECK_S: Final = 0.02
+_DRAIN_CHECK_INTERVAL_S: Final = 0.02
 _FLUSH_S: Final = 0.1
-_NOTICE_S: Final = 0.4
+_DEPARTURE_NOTICE_S: Final = 0.4
 
 
 async def stop_daemon(daemon: Daemon) -> None:
-    """Finish what is in flight, refuse the rest as not run, then close.
+    """Finish the calls in flight, refuse new ones as not run, then close.
 
-    Whoever sends callers here, or calls of other daemons, hears of the stop
-    a moment later; until then they are served as before.
+    Whatever routes callers to this daemon, and other daemons that send it calls, are
+    notified of the stop with a delay; until `stop_notice_ms` has passed, new calls are
+    served as before.
     """
     log.info(Event.STOPPING)
     daemon.is_stopping = True
     calls = daemon.settings.calls
     stop_ms = calls.stop_notice_ms + calls.drain_timeout_ms
-    daemon.stop_ends_ms = precise_ms() + stop_ms
+    daemon.stop_deadline_ms = precise_ms() + stop_ms
     daemon.publish_targets()
     daemon.callers.ask_to_leave()
     await asyncio.sleep(calls.stop_notice_ms / 1000)
@@ -46,26 +47,26 @@
 async def _wait_for_calls(daemon: Daemon) -> None:
     """Return once no call is in flight, or when the drain timeout ends.
 
-    Other daemons need a moment to hear that this one leaves. A call that
-    they send meanwhile is refused as not run; on a stream that is closed
-    already, its outcome would be unknown to its caller.
+    Other daemons receive the departure of this one with a delay. A call that they
+    send in the meantime is refused as not run; if its stream were already closed, its
+    outcome would be unknown to its caller.
     """
     timeout_ms = daemon.settings.calls.drain_timeout_ms
     deadline_ms = monotonic_ms() + timeout_ms
-    await asyncio.sleep(min(_NOTICE_S, timeout_ms / 1000))
+    await asyncio.sleep(min(_DEPARTURE_NOTICE_S, timeout_ms / 1000))
     while monotonic_ms() < deadline_ms:
-        if not _is_busy(daemon):
-            # The last answers may still stand in the buffers of their
-            # connections; closing those now would cut them.
+        if not _has_calls_in_flight(daemon):
+            # The last answers may still be in the buffers of their connections;
+            # closing these now would truncate the answers.
             await asyncio.sleep(_FLUSH_S)
             return
-        await asyncio.sleep(_DRAIN_CHECK_S)
+        await asyncio.sleep(_DRAIN_CHECK_INTERVAL_S)
     daemon.proxy.end_all()
     await asyncio.sleep(_FLUSH_S)
 
 
-def _is_busy(daemon: Daemon) -> bool:
-    """Return whether calls are in flight, here or through this daemon."""
+def _has_calls_in_flight(daemon: Daemon) -> bool:
+    """Return whether calls run on local targets or pass through this daemon."""
     parts = (daemon.runner, daemon.proxy, daemon.call_server, daemon.call_client)
     return any(part.n_in_flight for part in parts)
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -134,7 +134,7 @@
     for time_ms in times:
         timings.add(time_ms)
     times.sort()
-    for percentile, time_ms in timings.take():
+    for percentile, time_ms in timings.pop_percentiles():
         exact_ms = times[math.ceil(len(times) * percentile / 100) - 1]
         assert exact_ms <= time_ms * 1.0001 <= exact_ms * 1.101
 
@@ -143,9 +143,9 @@
     timings = Timings()
     for duration_ms in (0.0, 0.001, 1.0, 1e9):
         timings.add(duration_ms)
-    times = dict(timings.take())
+    times = dict(timings.pop_percentiles())
     assert times[50] <= times[90] <= times[99] < 1_000_000
-    assert list(timings.take()) == []
+    assert list(timings.pop_percentiles()) == []
 
 
 def test_daemon_sends_metrics_while_it_runs(receiver):
