--- a/tests/test_exposition.py
+++ b/tests/test_exposition.py
@@ -1,4 +1,4 @@
-"""Metrics for a Prometheus server."""
+"""Metrics in Prometheus text format."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def outcome(duration_ms: float, error: ErrorKind | None = None) -> CallOutcome:
-    """Return the end of one call."""
+    """Return the outcome of one call."""
     status = 200 if error is None else 503
     return CallOutcome("c", "r", "urgent", status, error, Run.YES, duration_ms, 0)
 
 
-def test_counters_gauges_and_call_times_are_served():
+def test_counters_gauges_and_call_durations_are_served():
     exposition = Exposition(
         lambda: DaemonCounters(n_calls=3), lambda: DaemonGauges(n_targets=2)
     )
@@ -37,15 +37,15 @@
             server.close()
 
     text = asyncio.run(scenario()).decode()
-    families = {each.name: each for each in text_string_to_metric_families(text)}
+    families = {family.name: family for family in text_string_to_metric_families(text)}
     assert families["pepperstair_calls"].samples[0].value == 3
     assert families["pepperstair_targets"].samples[0].value == 2
-    found = {
+    buckets = {
         (sample.labels["ended"], sample.labels.get("le", sample.name)): sample.value
         for sample in families["pepperstair_call_duration_seconds"].samples
     }
-    assert found["answered", "0.005"] == 1
-    assert found["answered", "0.1"] == 2
-    assert found["answered", "+Inf"] == 3
-    assert found["overloaded", "+Inf"] == 1
-    assert found["answered", "pepperstair_call_duration_seconds_count"] == 3
+    assert buckets["answered", "0.005"] == 1
+    assert buckets["answered", "0.1"] == 2
+    assert buckets["answered", "+Inf"] == 3
+    assert buckets["overloaded", "+Inf"] == 1
+    assert buckets["answered", "pepperstair_call_duration_seconds_count"] == 3
--- a/tests/test_hangup.py
+++ b/tests/test_hangup.py
@@ -1,4 +1,4 @@
-"""SIGHUP that comes while a daemon starts."""
+"""SIGHUP during the start of a daemon."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 from pepperstaird import light_imports
 
 
-class _Reached(Exception):
-    """The start has come to its long imports."""
+class _ImportsReached(Exception):
+    """Raised when the start reaches its long imports."""
 
 
 @pytest.mark.parametrize("start", ["adapter", "product"])
-def test_hangup_while_the_modules_are_imported_ends_no_daemon(monkeypatch, start):
-    """A daemon is killed, and the settings change while the next one starts.
+def test_hangup_during_imports_does_not_end_the_daemon(monkeypatch, start):
+    """The settings change while a daemon restarts after it was killed.
 
-    Nobody handles the signal yet, and its default is to end the process; callers of
-    the VM would wait for a third daemon.
+    No handler is installed yet, and the default action of SIGHUP ends the process, so
+    callers of the VM would wait for a third daemon.
     """
-    handled = []
+    handlers = []
 
-    def note() -> None:
-        handled.append(signal.getsignal(signal.SIGHUP))
-        raise _Reached
+    def record_handler() -> None:
+        handlers.append(signal.getsignal(signal.SIGHUP))
+        raise _ImportsReached
 
-    monkeypatch.setattr(light_imports, "leave_out", note)
+    monkeypatch.setattr(light_imports, "leave_out", record_handler)
     monkeypatch.setattr(
         "sys.argv", ["pepperstaird", "--settings", "examples/vm-1.toml"]
     )
-    before = signal.signal(signal.SIGHUP, signal.SIG_DFL)
+    previous_handler = signal.signal(signal.SIGHUP, signal.SIG_DFL)
     try:
-        with pytest.raises(_Reached):
+        with pytest.raises(_ImportsReached):
             (adapter if start == "adapter" else product).main()
     finally:
-        signal.signal(signal.SIGHUP, before)
-    assert handled == [signal.SIG_IGN]
+        signal.signal(signal.SIGHUP, previous_handler)
+    assert handlers == [signal.SIG_IGN]
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: statsd lines over UDP that never make a call wait."""
+"""Metrics sent to statsd over UDP without delaying calls."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 
 
 class Counts:
-    """Counters that a test sets."""
+    """Counters set by a test."""
 
     def __init__(self) -> None:
         self.n_calls = 0
         self.frames = ()
 
     def read(self) -> DaemonCounters:
-        """Return the counters as the daemon would."""
+        """Return the counters as the daemon does."""
         return DaemonCounters(n_calls=self.n_calls, frames=self.frames)
 
 
 @pytest.fixture
 def receiver():
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as opened:
-        opened.bind(("127.0.0.1", 0))
-        opened.settimeout(5)
-        yield opened
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
+        udp_socket.bind(("127.0.0.1", 0))
+        udp_socket.settimeout(5)
+        yield udp_socket
 
 
 def open_sender(receiver: socket.socket, counts: Counts) -> MetricsSender:
-    """Return a sender to a receiver, without the task that sends at intervals."""
+    """Return a sender to a receiver, without its periodic task."""
     host, port = receiver.getsockname()
     settings = MetricsSettings(f"{host}:{port}")
     sender = MetricsSender(settings, "vm-1.a", counts.read, DaemonGauges)
@@ -49,7 +49,7 @@
     return sender
 
 
-def test_counters_go_as_differences_and_times_as_percentiles(receiver):
+def test_counters_are_sent_as_differences_and_durations_as_percentiles(receiver):
     counts = Counts()
     sender = open_sender(receiver, counts)
     for n_calls, expected in ((3, b"calls:3|c"), (5, b"calls:2|c")):
@@ -64,8 +64,8 @@
     sender.close()
 
 
-def test_receiver_that_is_away_costs_dropped_metrics_only(receiver):
-    """A statsd process that is restarted must not stop or slow the daemon."""
+def test_unavailable_receiver_only_causes_dropped_metrics(receiver):
+    """A restart of the statsd process must neither stop nor slow the daemon."""
     sender = open_sender(receiver, Counts())
     receiver.close()
     for _ in range(20):
@@ -74,8 +74,8 @@
     sender.close()
 
 
-def test_full_socket_buffer_drops_instead_of_waiting(receiver):
-    """A network that takes no more must not stop the loop that carries calls."""
+def test_full_socket_buffer_drops_metrics_instead_of_blocking(receiver):
+    """A full socket buffer must not block the event loop, which also runs calls."""
     sender = open_sender(receiver, Counts())
 
     class FullSocket:
@@ -90,13 +90,13 @@
     assert (sender.n_sent, sender.n_dropped) == (0, N_GAUGES)
 
 
-def test_fault_in_one_sending_does_not_end_the_next(receiver):
-    """A part whose counts raise once must not silence the VM's metrics for good."""
-    faults = [AttributeError("n_gone")]
+def test_error_in_one_sending_does_not_prevent_the_next(receiver):
+    """One exception while counters are read must not end the VM's metrics for good."""
+    errors = [AttributeError("n_gone")]
 
     def read() -> DaemonCounters:
-        if faults:
-            raise faults.pop()
+        if errors:
+            raise errors.pop()
         return DaemonCounters(n_calls=1)
 
     async def send_until_received() -> bytes:
@@ -127,25 +127,25 @@
     sender.close()
 
 
-def test_percentiles_are_those_of_a_sorted_list_within_a_tenth():
+def test_percentiles_match_those_of_a_sorted_list_within_a_tenth():
     rng = random.Random(5)
-    timings = Timings()
+    histogram = Timings()
     times = [rng.lognormvariate(1, 2) for _ in range(2000)]
     for time_ms in times:
-        timings.add(time_ms)
+        histogram.add(time_ms)
     times.sort()
-    for percentile, time_ms in timings.pop_percentiles():
+    for percentile, time_ms in histogram.pop_percentiles():
         exact_ms = times[math.ceil(len(times) * percentile / 100) - 1]
         assert exact_ms <= time_ms * 1.0001 <= exact_ms * 1.101
 
 
-def test_timings_stay_in_range_for_extreme_times():
-    timings = Timings()
+def test_percentiles_stay_in_range_for_extreme_durations():
+    histogram = Timings()
     for duration_ms in (0.0, 0.001, 1.0, 1e9):
-        timings.add(duration_ms)
-    times = dict(timings.pop_percentiles())
+        histogram.add(duration_ms)
+    times = dict(histogram.pop_percentiles())
     assert times[50] <= times[90] <= times[99] < 1_000_000
-    assert list(timings.pop_percentiles()) == []
+    assert list(histogram.pop_percentiles()) == []
 
 
 def test_daemon_sends_metrics_while_it_runs(receiver):
--- a/tests/test_process_at_most_once.py
+++ b/tests/test_process_at_most_once.py
@@ -1,4 +1,4 @@
-"""Thousands of non-idempotent calls while daemons die and freeze and targets drain."""
+"""Thousands of non-idempotent calls while daemons crash or freeze and targets drain."""
 
 from __future__ import annotations
 
@@ -31,31 +31,33 @@
 
 
 @dataclass
-class Record:
-    """What callers sent and were told, by request id."""
+class CallRecord:
+    """Sent bodies and received answers of all calls, by request id."""
 
     bodies: dict[str, bytes] = field(default_factory=dict)
-    told: dict[str, Told] = field(default_factory=dict)
+    answers: dict[str, Told] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
-class Faults:
-    """Brings about one fault after another and undoes each."""
+class FaultInjector:
+    """Injects one fault after another and reverts each."""
 
     fleet: Fleet
     targets: list[str]
     rng: random.Random
 
     async def run(self, n_faults: int) -> None:
-        """Bring about a number of faults, each while calls go on."""
-        for kind in itertools.islice(itertools.cycle(self._kinds()), n_faults):
-            await kind()
+        """Inject a number of faults one after another while calls continue."""
+        for inject_fault in itertools.islice(
+            itertools.cycle(self._shuffled_faults()), n_faults
+        ):
+            await inject_fault()
             await asyncio.sleep(self.rng.uniform(0.1, 0.4))
 
-    def _kinds(self) -> list[Callable[[], Awaitable[None]]]:
+    def _shuffled_faults(self) -> list[Callable[[], Awaitable[None]]]:
         kinds = [
-            lambda: self._kill(self._beside_target()),
-            lambda: self._freeze(self._beside_target()),
+            lambda: self._kill(self._random_target_daemon()),
+            lambda: self._freeze(self._random_target_daemon()),
             self._drain,
             lambda: self._kill(1),
             lambda: self._freeze(1),
@@ -63,7 +65,7 @@
         self.rng.shuffle(kinds)
         return kinds
 
-    def _beside_target(self) -> int:
+    def _random_target_daemon(self) -> int:
         return self.rng.randrange(2, len(self.fleet.daemons))
 
     async def _kill(self, index: int) -> None:
@@ -89,12 +91,12 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_booking_runs_twice_and_no_refusal_lies(fleet, seed):
-    """Daemons beside targets and at the callers' side die and freeze, targets drain.
+def test_no_booking_runs_twice_and_reported_runs_are_correct(fleet, seed):
+    """Target-side and caller-side daemons crash and freeze, and targets drain.
 
-    A booking that ran twice charges a member twice; one that ran although its
-    caller was told that it did not is made again by hand; an answer that is cut or
-    belongs to another call tells a member of a place that they don't have.
+    A booking that ran twice charges a member twice. One that ran although its answer
+    says that it did not is made again by hand. An answer that is truncated or belongs
+    to another call confirms a place to a member who does not have it.
     """
     daemons = start_daemons(fleet, 5)
     targets = [
@@ -103,20 +105,20 @@
     ]
     put_in_force(fleet, award_document("ledger", 1500), daemons[0])
     rng = random.Random(seed)
-    record = Record()
+    record = CallRecord()
     asyncio.run(_call_under_faults(fleet, targets, rng, record))
     runs = sum((Counter(runs_of(target)) for target in targets), Counter())
-    assert list(_iter_faults(record, runs)) == []
-    # The test would prove nothing if nearly all calls had been refused.
-    statuses = Counter(told.status for told in record.told.values())
+    assert list(_iter_violations(record, runs)) == []
+    # The test would be meaningless if nearly all calls had been refused.
+    statuses = Counter(answer.status for answer in record.answers.values())
     assert statuses[200] > N_CALLS / 2, statuses
 
 
 async def _call_under_faults(
-    fleet: Fleet, targets: list[str], rng: random.Random, record: Record
+    fleet: Fleet, targets: list[str], rng: random.Random, record: CallRecord
 ) -> None:
     numbers = itertools.count()
-    faults = asyncio.create_task(Faults(fleet, targets, rng).run(N_FAULTS))
+    faults = asyncio.create_task(FaultInjector(fleet, targets, rng).run(N_FAULTS))
     callers = [
         _call_repeatedly(fleet.daemons[index % 2], numbers, faults, record)
         for index in range(N_CALLERS)
@@ -128,49 +130,49 @@
     daemon: DaemonProcess,
     numbers: Iterator[int],
     faults: asyncio.Task[None],
-    record: Record,
+    record: CallRecord,
 ) -> None:
-    """Call until both the calls and the faults are through."""
+    """Send calls until `N_CALLS` are sent and all faults have been injected."""
     while (number := next(numbers)) < N_CALLS or not faults.done():
         request_id = f"award-{number}"
         n_bytes = LARGE_BODY_BYTES if number % 50 == 0 else 20
         body = f"{request_id};".encode() * (n_bytes // (len(request_id) + 1) + 1)
         record.bodies[request_id] = body
-        told = await call_async(
+        answer = await call_async(
             daemon.callers, request_id, body=body, timeout_ms="1500", give_up_ms=6000
         )
-        record.told[request_id] = told
-        if told.status == 0:
+        record.answers[request_id] = answer
+        if answer.status == 0:
             await asyncio.sleep(0.05)
 
 
-def _iter_faults(record: Record, runs: Counter[str]) -> Iterator[str]:
-    """Yield a line for each call whose answer or number of runs is wrong."""
-    for request_id, told in record.told.items():
+def _iter_violations(record: CallRecord, runs: Counter[str]) -> Iterator[str]:
+    """Yield a line for each violation in the answer or number of runs of a call."""
+    for request_id, answer in record.answers.items():
         n_runs = runs[request_id]
         if n_runs > 1:
-            yield f"{request_id} ran {n_runs} times, told {told.status} {told.run}"
-        if told.run == "no" and n_runs:
-            yield f"{request_id} ran but was told not: {told.status} {told.error}"
-        if told.run == "yes" and not n_runs:
-            yield f"{request_id} did not run but was told so: {told.status}"
-        if told.status == 200 and not told.body.endswith(
+            yield f"{request_id} ran {n_runs} times: {answer.status} {answer.run}"
+        if answer.run == "no" and n_runs:
+            yield f"{request_id} ran, reported not run: {answer.status} {answer.error}"
+        if answer.run == "yes" and not n_runs:
+            yield f"{request_id} did not run, reported run: {answer.status}"
+        if answer.status == 200 and not answer.body.endswith(
             b"\n" + record.bodies[request_id]
         ):
-            yield f"{request_id} got another answer or part of one: {told.body[:40]!r}"
-        if told.status and told.run not in ("yes", "no", "unknown"):
-            yield f"{request_id} was told {told.status} and not whether it ran"
+            yield f"{request_id} got a wrong or truncated answer: {answer.body[:40]!r}"
+        if answer.status and answer.run not in ("yes", "no", "unknown"):
+            yield f"{request_id} got {answer.status} without saying whether it ran"
 
 
 async def _is_ready(daemon: DaemonProcess) -> bool:
     return (await fetch_async(daemon.operators, "GET", "/v1/ready"))[0] == 200
 
 
-def test_check_itself_finds_each_kind_of_fault():
-    record = Record({"a": b"a", "b": b"b", "c": b"c", "d": b"d"})
-    record.told["a"] = Told(200, "yes", "", b"x\na")
-    record.told["b"] = Told(503, "no", "draining", b"")
-    record.told["c"] = Told(200, "yes", "", b"x\nd")
-    record.told["d"] = Told(502, "", "", b"")
-    found = list(_iter_faults(record, Counter(a=2, b=1, c=0)))
+def test_checker_finds_each_kind_of_violation():
+    record = CallRecord({"a": b"a", "b": b"b", "c": b"c", "d": b"d"})
+    record.answers["a"] = Told(200, "yes", "", b"x\na")
+    record.answers["b"] = Told(503, "no", "draining", b"")
+    record.answers["c"] = Told(200, "yes", "", b"x\nd")
+    record.answers["d"] = Told(502, "", "", b"")
+    found = list(_iter_violations(record, Counter(a=2, b=1, c=0)))
     assert [line.split()[0] for line in found] == ["a", "b", "c", "c", "d"]
--- a/tests/test_process_drain.py
+++ b/tests/test_process_drain.py
@@ -1,4 +1,4 @@
-"""Targets and daemons that leave: nothing in flight is cut, nothing new comes."""
+"""Draining of targets: calls in flight complete and no new calls arrive."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 DRAIN_S = 2.0
 
 
-def test_target_that_drains_finishes_its_work_and_gets_no_more(fleet):
-    """A target says that it is leaving while it works on slow calls.
+def test_draining_target_finishes_its_calls_and_gets_no_new_ones(fleet):
+    """A target starts to drain while it runs slow calls.
 
-    A call cut then is a lost booking; a call sent to it later meets a closed port
-    as soon as the target is gone.
+    A call that is cut off then is a lost booking. A call sent to the target later
+    finds a closed port as soon as the target has stopped.
     """
     daemons = start_daemons(fleet, 3)
-    leaving = start_target(fleet, daemons[0], "ledger")
-    staying = start_target(fleet, daemons[1], "ledger")
+    draining_target = start_target(fleet, daemons[0], "ledger")
+    other_target = start_target(fleet, daemons[1], "ledger")
     put_in_force(fleet, award_document("ledger", 8000), daemons[0])
-    told = asyncio.run(
+    answers = asyncio.run(
         call_during(
             [daemon.callers for daemon in daemons],
-            [leaving, staying],
-            lambda: set_target_state(leaving, "draining"),
+            [draining_target, other_target],
+            lambda: set_target_state(draining_target, "draining"),
         )
     )
-    assert [answer.status for answer in told] == [200] * N_SLOW_CALLS
+    assert [answer.status for answer in answers] == [200] * N_SLOW_CALLS
     time.sleep(DRAIN_S)
-    before = runs_of(leaving)
+    runs_before = runs_of(draining_target)
     later = [call(daemons[index % 3], f"later-{index}") for index in range(60)]
     assert {answer.status for answer in later} == {200}
-    assert runs_of(leaving) == before
+    assert runs_of(draining_target) == runs_before
--- a/tests/test_process_naive.py
+++ b/tests/test_process_naive.py
@@ -1,4 +1,4 @@
-"""The naive daemon that benchmarks compare with still does its work."""
+"""The naive daemon, the baseline of the benchmarks, still works."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 
 
-def test_naive_daemon_carries_a_call():
+def test_naive_daemon_proxies_a_call():
     with running_fleet(NAIVE_DAEMON) as fleet:
         fleet.start_platform()
         daemons = start_daemons(fleet, 2)
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -1,4 +1,4 @@
-"""Real daemons that are frozen past their leases and woken."""
+"""Daemon processes that are frozen beyond their leases and resumed."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 )
 
 
-def test_frozen_caller_side_serves_nothing_old_when_it_wakes(fleet):
-    """A daemon is frozen past its leases, as when its VM is paused, and wakes.
+def test_frozen_caller_side_daemon_serves_no_old_version_when_resumed(fleet):
+    """A daemon is frozen beyond its leases, as by a pause of its VM, and resumes.
 
-    Meanwhile the route was moved, and calls have queued up in its sockets. Served
-    from the version it remembers, they would reach what was moved away.
+    In the meantime the route was moved, and calls have queued up in its sockets. If
+    they were served with the old version, they would reach the old service.
     """
     daemons = start_daemons(fleet, 4)
     start_target(fleet, daemons[1], "ledger")
@@ -44,18 +44,18 @@
         daemons[0].wake()
         return await asyncio.gather(*calls)
 
-    told = asyncio.run(call_frozen())
-    assert {served_by(answer) for answer in told} <= {"", "vault"}
+    answers = asyncio.run(call_frozen())
+    assert {served_by(answer) for answer in answers} <= {"", "vault"}
     wait_in_force(fleet.daemons, applied.version)
     wait_until(lambda: served_by(call(daemons[0], "later")) == "vault", "vault")
 
 
-def test_frozen_target_side_runs_nothing_whose_deadline_passed(fleet):
-    """The daemon beside a target is frozen while calls are on their way to it.
+def test_frozen_target_side_daemon_runs_no_call_past_its_deadline(fleet):
+    """A target-side daemon is frozen while calls are on their way to it.
 
-    Their callers were told that the outcome is unknown, and their deadlines pass.
-    When the daemon wakes it finds the calls in its socket: running them now would
-    book a place long after the member was told to try again.
+    The outcome is reported to their callers as unknown, and their deadlines pass.
+    When the daemon resumes, it finds the calls in its socket. Running them now would
+    book a place long after the member was asked to try again.
     """
     daemons = start_daemons(fleet, 3)
     target = start_target(fleet, daemons[0], "ledger")
@@ -70,13 +70,15 @@
             )
             for index in range(20)
         ]
-        told = await asyncio.gather(*calls)
+        answers = await asyncio.gather(*calls)
         await asyncio.sleep(1.5)
-        return told
+        return answers
 
-    told = asyncio.run(call_through_others())
+    answers = asyncio.run(call_through_others())
     daemons[0].wake()
     wait_until(lambda: served_by(call(daemons[1], "after")) == "ledger", "ledger")
-    assert {answer.status for answer in told} <= {502, 503, 504}
-    ran = [name for name in runs_of(target) if name.startswith("frozen-")]
+    assert {answer.status for answer in answers} <= {502, 503, 504}
+    ran = [
+        request_id for request_id in runs_of(target) if request_id.startswith("frozen-")
+    ]
     assert ran == []
--- a/tests/test_process_pause_both.py
+++ b/tests/test_process_pause_both.py
@@ -1,4 +1,4 @@
-"""Real daemons at both ends of a call, frozen past their leases and woken."""
+"""Daemon processes at both ends of a call, frozen beyond their leases and resumed."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 )
 
 
-def test_frozen_on_both_sides_runs_nothing_whose_deadline_passed(fleet):
-    """The daemons at both ends of a call are frozen, and one wakes far too late.
+def test_freeze_of_both_daemons_runs_no_call_past_its_deadline(fleet):
+    """The daemons at both ends of a call are frozen, and one resumes far too late.
 
-    The daemon at the caller's side can't take the calls back, being frozen too, so
-    the one beside the target has to see by itself that they have been waiting.
+    The caller-side daemon can't cancel the calls, as it is frozen too, so the
+    target-side daemon has to detect on its own that they have been waiting.
     """
     daemons = start_daemons(fleet, 4)
     target = start_target(fleet, daemons[0], "ledger")
@@ -50,5 +50,7 @@
     wait_until(lambda: served_by(call(daemons[2], "after")) == "ledger", "ledger")
     daemons[1].wake()
     wait_until(lambda: served_by(call(daemons[1], "again")) == "ledger", "ledger")
-    ran = [name for name in runs_of(target) if name.startswith("frozen-")]
+    ran = [
+        request_id for request_id in runs_of(target) if request_id.startswith("frozen-")
+    ]
     assert ran == []
--- a/tests/test_process_restart.py
+++ b/tests/test_process_restart.py
@@ -1,4 +1,4 @@
-"""Real daemons that are killed and started again, one by one and in herds."""
+"""Daemon processes that are killed and restarted, one by one and in groups."""
 
 from __future__ import annotations
 
@@ -18,52 +18,55 @@
 )
 
 
-def test_half_of_the_fleet_dies(fleet):
-    """Half of the daemons die at once and come back while a change is made.
+def test_crash_of_half_of_the_fleet_keeps_service_and_versions(fleet):
+    """Half of the daemons crash at once and restart while a change is made.
 
-    The survivors must go on serving, and every daemon that returns must hold the
-    change and all that was in force before.
+    The others must continue to serve calls, and every restarted daemon must hold the
+    change and everything that was in force before.
     """
     daemons = start_daemons(fleet, 6)
     start_target(fleet, daemons[0], "ledger")
     put_in_force(fleet, award_document("ledger"), daemons[0])
-    herd = daemons[1::2]
-    for daemon in herd:
+    killed = daemons[1::2]
+    for daemon in killed:
         daemon.process.kill()
-    for daemon in herd:
+    for daemon in killed:
         daemon.process.wait()
     assert served_by(call(daemons[2], "while-half-is-gone")) == "ledger"
     applied = apply_intent(daemons[2], CUSTOMER, award_document("ledger", 1500))
     assert applied.status == 200
-    returned = [fleet.restart_daemon(daemon) for daemon in herd]
+    restarted = [fleet.restart_daemon(daemon) for daemon in killed]
     wait_in_force(fleet.daemons, applied.version)
-    wait_until(lambda: all(map(is_ready, returned)), "every daemon ready again")
-    assert served_by(call(returned[0], "after-the-return")) == "ledger"
+    wait_until(lambda: all(map(is_ready, restarted)), "every daemon ready again")
+    assert served_by(call(restarted[0], "after-the-return")) == "ledger"
 
 
-def test_versions_never_fall_on_any_daemon(fleet):
-    """Changes follow each other quickly while daemons die and return.
+def test_versions_never_decrease_on_any_daemon(fleet):
+    """Changes follow each other quickly while daemons crash and restart.
 
-    A version that falls on a proxy, even for an instant, sends callers where the
-    operator had stopped sending them.
+    If the version on a proxy decreased, even for an instant, calls would be routed
+    to where the operator had stopped routing them.
     """
     daemons = start_daemons(fleet, 4)
     put_in_force(fleet, award_document("ledger"), daemons[0])
-    seen: dict[str, list[int]] = {daemon.vm: [] for daemon in daemons}
+    versions_by_vm: dict[str, list[int]] = {daemon.vm: [] for daemon in daemons}
     for change in range(12):
-        at = fleet.daemons[change % 3]
+        accepting_daemon = fleet.daemons[change % 3]
         document = award_document("ledger", 1000 + change)
-        assert apply_intent(at, CUSTOMER, document).status == 200
+        assert apply_intent(accepting_daemon, CUSTOMER, document).status == 200
         if change % 4 == 3:
-            at.kill()
-            fleet.restart_daemon(at)
-            wait_until(lambda vm=at.vm: is_ready(_by_vm(fleet, vm)), "ready again")
+            accepting_daemon.kill()
+            fleet.restart_daemon(accepting_daemon)
+            wait_until(
+                lambda vm=accepting_daemon.vm: is_ready(_by_vm(fleet, vm)),
+                "ready again",
+            )
         for daemon in fleet.daemons:
             held = version_of(daemon)
             if is_ready(daemon):
-                seen[daemon.vm].append(held)
+                versions_by_vm[daemon.vm].append(held)
     wait_in_force(fleet.daemons, 13)
-    for versions in seen.values():
+    for versions in versions_by_vm.values():
         assert versions == sorted(versions)
 
 
--- a/tests/test_process_silence.py
+++ b/tests/test_process_silence.py
@@ -1,4 +1,4 @@
-"""Connections between daemons that go silent for good while new ones work."""
+"""Connections between daemons that lose all traffic while new connections work."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def start_behind_relay(fleet: Fleet) -> tuple[DaemonProcess, DaemonProcess, Link]:
-    """Start two daemons, the second of which others reach through a relay."""
+    """Start two daemons; the second one is reached through a relay."""
     caller_side = fleet.start_daemon("vm-0", "pos-a", "{}", FAST_MEMBERS)
     address = f"127.0.0.1:{free_port()}"
     relay = Link(address, free_port())
@@ -32,17 +32,17 @@
 
 
 def test_silent_stream_loses_no_call(fleet):
-    """Something between two daemons forgets their connection; new ones work.
+    """A network device between two daemons drops the state of their connection.
 
-    Nothing is closed, so calls on the stream would hang until they time out, and
-    a booking whose answer was lost on it would be made twice by a blind retry.
+    New connections work. The old one is not closed, so calls on it would hang until
+    they time out, and a blind retry would repeat a booking whose answer was lost.
     """
 
     async def run() -> None:
         caller_side, target_side, relay = start_behind_relay(fleet)
         await relay.listen()
-        # The relay uses plain streams, so the loop of the other thread shares no
-        # buffer with it.
+        # The relay uses plain streams, so the event loop of the other thread shares
+        # no buffer with it.
         await asyncio.to_thread(prepare, caller_side, target_side)
         first = await call_async(caller_side.callers, "first")
         assert first.status == 200
@@ -65,9 +65,9 @@
             )
             for index in range(N_CALLS)
         ]
-        told = await asyncio.gather(*slow, *later)
+        answers = await asyncio.gather(*slow, *later)
         relay.close()
-        assert {answer.status for answer in told} == {200}
+        assert {answer.status for answer in answers} == {200}
 
     targets: list[str] = []
 
--- a/tests/test_process_stop.py
+++ b/tests/test_process_stop.py
@@ -1,4 +1,4 @@
-"""Daemons that are stopped: nothing in flight is cut, later calls go elsewhere."""
+"""Stop of daemons: calls in flight complete, later calls are sent elsewhere."""
 
 from __future__ import annotations
 
@@ -22,40 +22,40 @@
 
 
 @pytest.mark.parametrize("leaving_index", [0, 2], ids=["target side", "caller side"])
-def test_daemon_that_is_stopped_finishes_its_calls(fleet, leaving_index):
-    """A daemon gets SIGTERM while calls run through it.
+def test_stopped_daemon_finishes_its_calls(fleet, leaving_index):
+    """A daemon gets SIGTERM while it proxies or runs calls.
 
-    They must get their whole answers, calls that come later must be refused as not
-    run or go elsewhere, and the daemon must end by itself.
+    These must get their whole answers, later calls must be refused as not run or be
+    sent elsewhere, and the daemon must exit by itself.
     """
     daemons = start_daemons(fleet, 3)
     target = start_target(fleet, daemons[0], "ledger")
     put_in_force(fleet, award_document("ledger", 8000), daemons[0])
-    leaving = daemons[leaving_index]
+    stopping_daemon = daemons[leaving_index]
 
-    async def leave() -> None:
-        leaving.process.send_signal(signal.SIGTERM)
+    async def send_stop_signal() -> None:
+        stopping_daemon.process.send_signal(signal.SIGTERM)
 
     callers = [daemons[2 if leaving_index else 1].callers]
-    told = asyncio.run(call_during(callers, [target], leave))
-    assert [answer.status for answer in told] == [200] * N_SLOW_CALLS
-    wait_until(lambda: leaving.process.poll() is not None, "the daemon ended")
-    assert leaving.process.returncode == 0
+    answers = asyncio.run(call_during(callers, [target], send_stop_signal))
+    assert [answer.status for answer in answers] == [200] * N_SLOW_CALLS
+    wait_until(lambda: stopping_daemon.process.poll() is not None, "the daemon ended")
+    assert stopping_daemon.process.returncode == 0
     assert max(runs_of(target).values()) == 1
 
 
-def test_calls_to_a_stopped_daemon_go_elsewhere(fleet):
-    """One of two daemons beside targets is stopped under steady calls.
+def test_calls_to_a_stopped_daemon_are_sent_elsewhere(fleet):
+    """One of two daemons with targets is stopped while calls continue.
 
-    Nobody who calls through the others should notice: what was refused did not run
-    and is sent to the other target.
+    Callers of the other daemons must not notice: refused calls did not run and are
+    sent to the other target.
     """
     daemons = start_daemons(fleet, 3)
     start_target(fleet, daemons[0], "ledger")
     start_target(fleet, daemons[1], "ledger")
     put_in_force(fleet, award_document("ledger"), daemons[0])
-    told = [call(daemons[2], f"before-{index}") for index in range(20)]
+    answers = [call(daemons[2], f"before-{index}") for index in range(20)]
     daemons[0].process.send_signal(signal.SIGTERM)
-    told.extend(call(daemons[2], f"during-{index}") for index in range(60))
-    assert {served_by(answer) for answer in told} == {"ledger"}
+    answers.extend(call(daemons[2], f"during-{index}") for index in range(60))
+    assert {served_by(answer) for answer in answers} == {"ledger"}
     wait_until(lambda: daemons[0].process.poll() is not None, "the daemon ended")
