--- a/packages/pepperstaird/pepperstaird/__main__.py
+++ b/packages/pepperstaird/pepperstaird/__main__.py
@@ -13,7 +13,7 @@
 from pepperstair_core.schema import Fault
 
 from . import light_imports
-from .early_listening import listen_at
+from .early_listening import open_listening_socket
 from .hangup import ignore_hangup
 
 EXIT_OK: Final = 0
@@ -57,22 +57,22 @@
 
     Return the exit code of the process.
     """
-    read = read_settings(settings)
-    if read.is_err():
-        for fault in read.unwrap_err():
+    parsed = read_settings(settings)
+    if parsed.is_err():
+        for fault in parsed.unwrap_err():
             print(f"{settings}: {fault}", file=sys.stderr)
         return EXIT_BAD_INPUT
     if check:
         print(f"{settings}: settings are valid")
         return EXIT_OK
     light_imports.leave_out()
-    callers_socket = listen_at(read.unwrap().callers.address)
+    callers_socket = open_listening_socket(parsed.unwrap().callers.address)
     # Imported only here: these modules import asyncio and structlog, which would
     # otherwise import the libraries that have just been blocked.
     from .product import product_edges
     from .running import run_daemon
 
-    return run_daemon(read.unwrap(), product_edges(), callers_socket)
+    return run_daemon(parsed.unwrap(), product_edges(), callers_socket)
 
 
 def read_settings(path: Path) -> Result[Settings, list[Fault]]:
--- a/packages/pepperstaird/pepperstaird/early_listening.py
+++ b/packages/pepperstaird/pepperstaird/early_listening.py
@@ -1,9 +1,9 @@
 """Opens the listening socket for callers before the rest of the daemon is imported.
 
-Imports take most of the time in which a killed daemon restarts. Until the daemon
-listens, the kernel refuses connections, and callers with few retries use them up. With
-the socket open from the start, their connections wait in its backlog until the daemon
-accepts them.
+Imports take most of the time to restart a killed daemon. Until the daemon listens, the
+kernel refuses connections, and callers with few retries use them up. With the socket
+open from the start, their connections wait in its backlog until the daemon accepts
+them.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
         address = str(tomllib.loads(text)["callers"]["address"])
     except (tomllib.TOMLDecodeError, KeyError, TypeError):
         return None
-    return listen_at(address)
+    return open_listening_socket(address)
 
 
-def listen_at(address: str) -> socket.socket | None:
+def open_listening_socket(address: str) -> socket.socket | None:
     """Return a socket that listens on an address, or None if that fails.
 
     The daemon then binds the address itself during its start and reports the error.
@@ -49,4 +49,4 @@
     return listener
 
 
-__all__ = ["listen_at", "open_callers_socket"]
+__all__ = ["open_listening_socket", "open_callers_socket"]
--- a/packages/pepperstaird/pepperstaird/exposition.py
+++ b/packages/pepperstaird/pepperstaird/exposition.py
@@ -55,7 +55,7 @@
         """Respond with the text of all metrics."""
         # Imported on the first request, to save the memory of the library on daemons
         # whose metrics are never scraped.
-        light_imports.bring_back()
+        light_imports.unblock_imports()
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry(auto_describe=False)
--- a/packages/pepperstaird/pepperstaird/light_imports.py
+++ b/packages/pepperstaird/pepperstaird/light_imports.py
@@ -22,7 +22,7 @@
         sys.modules.setdefault(name, None)
 
 
-def bring_back() -> None:
+def unblock_imports() -> None:
     """Allow the import of the blocked modules again, for a library that needs them.
 
     Modules that were imported without them keep their fallbacks.
@@ -32,4 +32,4 @@
             del sys.modules[name]
 
 
-__all__ = ["BLOCKED_MODULES", "bring_back", "leave_out"]
+__all__ = ["BLOCKED_MODULES", "unblock_imports", "leave_out"]
--- a/packages/pepperstaird/pepperstaird/metrics.py
+++ b/packages/pepperstaird/pepperstaird/metrics.py
@@ -113,7 +113,7 @@
         self.replace_socket(_open_socket(*address))
 
     def replace_socket(self, udp_socket: socket.socket) -> None:
-        """Replace and close the current socket."""
+        """Close the current socket, if any, and send over another one from now on."""
         if self._socket is not None:
             self._socket.close()
         self._socket = udp_socket
--- a/tests/test_process_at_most_once.py
+++ b/tests/test_process_at_most_once.py
@@ -55,15 +55,15 @@
             await asyncio.sleep(self.rng.uniform(0.1, 0.4))
 
     def _shuffled_faults(self) -> list[Callable[[], Awaitable[None]]]:
-        kinds = [
+        faults = [
             lambda: self._kill(self._random_target_daemon()),
             lambda: self._freeze(self._random_target_daemon()),
             self._drain,
             lambda: self._kill(1),
             lambda: self._freeze(1),
         ]
-        self.rng.shuffle(kinds)
-        return kinds
+        self.rng.shuffle(faults)
+        return faults
 
     def _random_target_daemon(self) -> int:
         return self.rng.randrange(2, len(self.fleet.daemons))
