--- a/packages/pepperstaird/pepperstaird/daemon.py
+++ b/packages/pepperstaird/pepperstaird/daemon.py
@@ -176,8 +176,8 @@
             self.identity,
             settings.peers.frame_max_bytes,
             {
-                StreamKind.CONTROL: self.control.take_stream,
-                StreamKind.DATA: self.call_server.take_stream,
+                StreamKind.CONTROL: self.control.serve_stream,
+                StreamKind.DATA: self.call_server.serve_stream,
             },
             self.frame_counters,
         )
@@ -255,7 +255,7 @@
         }
         for vm, incarnation in returned.items():
             if self._alive_incarnations.get(vm) != incarnation:
-                self.chooser.forgive(vm)
+                self.chooser.clear_ejection(vm)
         self._alive_incarnations = returned
 
     def _on_paused(self) -> None:
@@ -342,7 +342,7 @@
 
     def publish_targets(self) -> None:
         """Announce the targets of this VM to the fleet, as draining during a stop."""
-        self.runner.follow_registry()
+        self.runner.sync_with_registry()
         targets = self.registry.targets()
         if self.is_stopping:
             targets = tuple(
