--- a/tests/adapter/test_reloading.py
+++ b/tests/adapter/test_reloading.py
@@ -49,7 +49,7 @@
 
 def test_change_without_a_signal_is_noticed(tmp_path, monkeypatch):
     """The platform replaces the file and says nothing."""
-    monkeypatch.setattr(reloading, "_LOOK_S", 0.005)
+    monkeypatch.setattr(reloading, "_CHECK_INTERVAL_S", 0.005)
     file = settings_file(tmp_path)
 
     async def scenario() -> None:
