--- a/stand_ins/__init__.py
+++ b/stand_ins/__init__.py
@@ -1,3 +1,3 @@
-"""Small stand-ins for the platform and for targets."""
+"""Minimal stand-ins for the platform and for targets."""
 
 from __future__ import annotations
--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -1,7 +1,7 @@
 """A stand-in for the platform's table service and object store.
 
-Run it with `python -m stand_ins.platform --port P`. It keeps all in memory.
-`PUT /v1/faults` sets what goes wrong, for instance `{"mode": "outage"}`.
+Run it with `python -m stand_ins.platform --port P`. All data is kept in memory.
+`PUT /v1/faults` injects a fault, for instance `{"mode": "outage"}`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class FaultMode(StrEnum):
-    """What goes wrong."""
+    """The kinds of faults that can be injected."""
 
     NONE = "none"
     OUTAGE = "outage"
@@ -34,7 +34,7 @@
 class Faults:
     """The fault in force; `latency_ms` applies to `slow`.
 
-    Only requests whose path starts with `path_prefix` meet it.
+    It affects each request whose path starts with `path_prefix`, with `probability`.
     """
 
     mode: FaultMode = FaultMode.NONE
@@ -45,7 +45,7 @@
 
 @dataclass
 class Counters:
-    """Requests answered, by what they did."""
+    """Counts of read and write requests, and the size of all bodies."""
 
     n_reads: int = 0
     n_writes: int = 0
@@ -54,7 +54,7 @@
 
 @dataclass
 class PlatformStandIn:
-    """Rows and objects in memory, with faults on demand."""
+    """Stores rows and objects in memory and injects faults on request."""
 
     latency_ms: float = 0.0
     rng: random.Random = field(default_factory=lambda: random.Random(0))
@@ -64,7 +64,7 @@
     counters: Counters = field(default_factory=Counters)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request, or do what the fault in force says."""
+        """Answer one request, subject to the fault in force."""
         body = await exchange.body.read_all(_BODY_MAX_BYTES) or b""
         path = urlsplit(exchange.request.path)
         if path.path == "/v1/faults":
@@ -142,8 +142,8 @@
     """Serve until cancelled."""
     stand_in = PlatformStandIn(latency_ms, random.Random(seed))
     server = HttpServer(stand_in.handle, ServerLimits(n_connections_max=5000))
-    bound = await server.listen("127.0.0.1", port)
-    print(f"platform stand-in on 127.0.0.1:{bound}", flush=True)
+    bound_port = await server.listen("127.0.0.1", port)
+    print(f"platform stand-in on 127.0.0.1:{bound_port}", flush=True)
     await asyncio.Event().wait()
 
 
--- a/stand_ins/target.py
+++ b/stand_ins/target.py
@@ -1,11 +1,12 @@
-"""A stand-in for a target: announces itself and counts each run.
+"""A stand-in for a target that announces itself and counts the runs of each request.
 
 Run it with `python -m stand_ins.target --port P --daemon ADDRESS --service NAME`.
-It answers every request with its name and the request's body; a request may set
-`x-work-ms` to take that long. `GET /stand-in/runs` tells how often each request id
-ran, `PUT /stand-in/state` with `draining` makes it leave. `PUT /stand-in/work-ms`
-makes it slower from now on, `PUT /stand-in/status` with `500` makes it fail at once
-while it goes on saying that it serves.
+It answers every request with its name and the request's body. A request takes as long
+as its header `x-work-ms` says, if set. `GET /stand-in/runs` returns how often each
+request id ran. `PUT /stand-in/state` with `draining` makes the target drain,
+`PUT /stand-in/work-ms` sets the duration of later requests, and `PUT /stand-in/status`
+with `500` makes every request fail immediately while the target continues to announce
+itself as serving.
 """
 
 from __future__ import annotations
@@ -27,14 +28,14 @@
     header_value,
 )
 
-_RENEWAL_S = 2.0
+_RENEWAL_INTERVAL_S = 2.0
 _CONTROL_PREFIX = "/stand-in/"
 _TEXT = ((b"content-type", b"text/plain"),)
 
 
 @dataclass
 class TargetStandIn:
-    """What one target does and has done."""
+    """The behaviour and the state of one target."""
 
     name: str
     service: str
@@ -47,7 +48,7 @@
     runs: Counter[str] = field(default_factory=Counter)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Run one request and answer with this target's name and the body."""
+        """Run one request and answer with this target's name and the request's body."""
         if exchange.request.path.startswith(_CONTROL_PREFIX):
             await self._handle_control(exchange)
             return
@@ -74,7 +75,7 @@
         await exchange.respond(200, _TEXT, content.encode())
 
     def announcement(self) -> dict[str, Any]:
-        """Return what the target says of itself."""
+        """Return the announcement of the target."""
         return {
             "address": self.address,
             "labels": {"app": self.service},
@@ -84,18 +85,18 @@
         }
 
 
-async def announce_for_ever(stand_in: TargetStandIn, daemon: str) -> None:
-    """Renew the announcement, at once when the state has changed."""
+async def announce_forever(stand_in: TargetStandIn, daemon: str) -> None:
+    """Renew the announcement periodically, and at once when the state has changed."""
     fetcher = Fetcher(*parse_address(daemon), 1000)
     while True:
         body = json.dumps(stand_in.announcement()).encode()
-        announced = stand_in.state
+        announced_state = stand_in.state
         try:
             await fetcher.fetch("PUT", f"/v1/targets/{stand_in.name}", body)
-            remaining_s = _RENEWAL_S
+            remaining_s = _RENEWAL_INTERVAL_S
         except (OSError, TimeoutError, ConnectionLostError):
             remaining_s = 0.1
-        while remaining_s > 0 and stand_in.state == announced:
+        while remaining_s > 0 and stand_in.state == announced_state:
             await asyncio.sleep(0.05)
             remaining_s -= 0.05
 
@@ -103,10 +104,10 @@
 async def serve(stand_in: TargetStandIn, port: int, daemon: str) -> None:
     """Serve and announce until cancelled."""
     server = HttpServer(stand_in.handle, ServerLimits(n_connections_max=5000))
-    bound = await server.listen("127.0.0.1", port)
-    stand_in.address = f"127.0.0.1:{bound}"
+    bound_port = await server.listen("127.0.0.1", port)
+    stand_in.address = f"127.0.0.1:{bound_port}"
     print(f"{stand_in.name} on {stand_in.address}", flush=True)
-    await announce_for_ever(stand_in, daemon)
+    await announce_forever(stand_in, daemon)
 
 
 def main() -> None:
