--- a/tests/adapter/__init__.py
+++ b/tests/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the adapter to the users' platform, against stand-ins."""
+"""Tests of the platform adapter against stand-ins."""
--- a/tests/adapter/documents.py
+++ b/tests/adapter/documents.py
@@ -1,4 +1,4 @@
-"""Documents as the platform's operator writes them."""
+"""Operators' documents in the platform's format, for tests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def rule(name: str, prefix: str, service: str, **more: Any) -> dict[str, Any]:
-    """Return one rule to one service."""
+    """Return a rule that sends requests to one service."""
     action = {"service": service, "timeout_ms": 800, "attempts": 2}
     action.update(more.pop("action", {}))
     return {
@@ -22,7 +22,7 @@
 
 
 def document(version: int = 7, *rules: dict[str, Any], **more: Any) -> bytes:
-    """Return a whole document with two services."""
+    """Return a complete document with two services."""
     table = {
         "version": f"r{version}",
         "limits": {
--- a/tests/adapter/mesh.py
+++ b/tests/adapter/mesh.py
@@ -1,4 +1,4 @@
-"""Real daemons on a stand-in of the platform, for tests: VMs, instances, the store."""
+"""Daemon processes, instances and a stand-in of the store, for tests."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from tests.adapter.store_stand_in import StoreStandIn
 from tests.adapter.test_settings import BOUNDS, filled
 
-# How long an instance works on a request that crashes it.
-POISON_S = 0.03
+# How long an instance runs a poison request before it crashes.
+CRASH_DELAY_S = 0.03
 ROOT = Path(__file__).parent.parent.parent
 
 
 @dataclass
 class Vm:
-    """One VM: its instance, the daemon beside it and their ports."""
+    """One VM: its instance, its daemon and their ports."""
 
     name: str
     service: str
@@ -38,21 +38,21 @@
     store: str
     n_slots: int = 4
     ports: dict[str, int] = field(default_factory=dict)
-    heads: list = field(default_factory=list)
+    received_headers: list = field(default_factory=list)
     sequence: int = 0
     process: subprocess.Popen | None = None
     work_s: float = 0.0
     bounds: str = BOUNDS
-    # Requests to this path crash the instance, and another one starts in its place.
+    # Requests to this path crash the instance, which is then replaced by a new one.
     poison_path: str = ""
     restart_s: float = 0.4
-    n_poisoned: int = 0
+    n_poison_runs: int = 0
     server: HttpServer | None = None
-    crashing: asyncio.Task | None = None
+    crash_task: asyncio.Task | None = None
     incarnation: int = 1
 
     def settings_text(self) -> str:
-        """Return the settings that the platform would place."""
+        """Return the settings file that the platform would provide."""
         names = ("outbound", "ready", "control_plane")
         for name in (*names, "peers", "operators", "metrics"):
             self.ports.setdefault(name, free_port())
@@ -75,7 +75,7 @@
         return [sys.executable, "-m", "pepperstair_adapter"]
 
     def start_daemon(self) -> None:
-        """Start the daemon on its settings; its log goes on in the same file."""
+        """Start the daemon with its settings; its log is appended to the same file."""
         settings = self.folder / f"{self.name}.toml"
         settings.write_text(self.settings_text())
         environment = {**os.environ, "PEPPERSTAIR_BOOT": str(settings)}
@@ -89,7 +89,7 @@
             )
 
     async def serve(self) -> HttpServer:
-        """Run the instance."""
+        """Start the instance and return its server."""
         self.server = HttpServer(self._handle, ServerLimits())
         port = self.ports.get("app", 0)
         self.ports["app"] = await self.server.listen("127.0.0.1", port)
@@ -97,12 +97,12 @@
 
     @property
     def instance(self) -> str:
-        """Return the id of the instance, which is new after each crash."""
+        """Return the id of the instance, which changes with each crash."""
         suffix = f"-{self.incarnation}" if self.incarnation > 1 else ""
         return f"i-{self.name}{suffix}"
 
     async def crash(self) -> None:
-        """End the instance with all that it runs, and start the next one later."""
+        """End the instance with all its requests; start a new one after `restart_s`."""
         self.server.close()
         self.incarnation += 1
         await asyncio.sleep(self.restart_s)
@@ -110,9 +110,9 @@
         await self.heartbeat()
 
     async def heartbeat(self, state: str = "ready") -> int:
-        """Announce the instance and return the status of the answer."""
+        """Send a heartbeat of the instance and return the status of the answer."""
         self.sequence += 1
-        beat = {
+        content = {
             "service": self.service,
             "address": f"127.0.0.1:{self.ports['app']}",
             "zone": "pos-a",
@@ -124,22 +124,22 @@
             "born": self.incarnation,
         }
         path = f"/Instances.Heartbeat/{self.instance}"
-        body = json.dumps(beat).encode()
+        body = json.dumps(content).encode()
         return (await self.fetch("control_plane", "POST", path, body))[0]
 
     async def fetch(self, port, method, path, body=b"", headers=()):
-        """Send one request to a port and return status, headers and body."""
+        """Send one request to a port and return the status, headers and body."""
         fetcher = Fetcher("127.0.0.1", self.ports[port], 5000)
         try:
-            got = await fetcher.fetch(method, path, body, headers)
+            response = await fetcher.fetch(method, path, body, headers)
         except (OSError, TimeoutError, ConnectionLostError):
             return 0, (), b""
         finally:
             fetcher.close()
-        return got.status, got.headers, got.body
+        return response.status, response.headers, response.body
 
     async def call(self, path="/logs/1", request_id="call-1", timeout_ms=3000):
-        """Send one request of a client of this VM."""
+        """Send one client request to this VM's daemon; return the status and body."""
         headers = (
             (b"host", b"maps.example"),
             (b"x-request-id", request_id.encode()),
@@ -154,23 +154,23 @@
         lines += [b"connection: close", b"", b""]
         writer.write(b"\r\n".join(lines))
         try:
-            answered = await reader.read()
+            received = await reader.read()
         except ConnectionError:
             return 0, b""
         finally:
             writer.close()
-        head, _, content = answered.partition(b"\r\n\r\n")
+        head, _, content = received.partition(b"\r\n\r\n")
         return (int(head.split()[1]) if head else 0), content
 
     async def _handle(self, exchange: Exchange) -> None:
         headers = exchange.request.headers
-        self.heads.append(headers)
+        self.received_headers.append(headers)
         await exchange.body.read_all(1_000_000)
         if self.poison_path and exchange.request.path == self.poison_path:
-            self.n_poisoned += 1
-            await asyncio.sleep(POISON_S)
-            # Its task outlives the connection of the request.
-            self.crashing = asyncio.create_task(self.crash())
+            self.n_poison_runs += 1
+            await asyncio.sleep(CRASH_DELAY_S)
+            # A task of its own, as the request's connection is closed by the crash.
+            self.crash_task = asyncio.create_task(self.crash())
             return
         await asyncio.sleep(self.work_s)
         answer = (
@@ -181,7 +181,7 @@
 
 
 class Mesh:
-    """A store stand-in and some VMs."""
+    """A stand-in of the store and some VMs."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -191,19 +191,21 @@
         self.bounds = BOUNDS
 
     async def add(self, name: str, service: str) -> Vm:
-        """Start a VM whose instance has announced itself."""
+        """Start a VM and wait until its daemon has accepted a heartbeat."""
         vm = Vm(name, service, self.folder, self.address, bounds=self.bounds)
         await vm.serve()
         self.vms.append(vm)
         vm.start_daemon()
-        await until(lambda: self._announce(vm), f"{name} takes heartbeats")
+        await until(lambda: self._announce(vm), f"{name} accepts heartbeats")
         return vm
 
-    async def ready(self) -> None:
-        """Wait until every daemon is ready and knows every instance."""
+    async def wait_until_ready(self) -> None:
+        """Wait until every daemon is ready and has discovered every instance."""
         for vm in self.vms:
             await until(lambda vm=vm: is_ready(vm), f"{vm.name} is ready")
-            await until(lambda vm=vm: self._knows_all(vm), f"{vm.name} knows all")
+            await until(
+                lambda vm=vm: self._knows_all(vm), f"{vm.name} knows all instances"
+            )
 
     async def _announce(self, vm: Vm) -> bool:
         return await vm.heartbeat() == 200
@@ -226,7 +228,7 @@
 
 
 async def until(condition, what: str) -> None:
-    """Wait for a condition, or raise TimeoutError that names it."""
+    """Wait for a condition, or raise a TimeoutError that names it after 20 s."""
     deadline_s = asyncio.get_running_loop().time() + 20
     while not await condition():
         if asyncio.get_running_loop().time() > deadline_s:
@@ -235,12 +237,12 @@
 
 
 async def is_ready(vm: Vm) -> bool:
-    """Return whether a daemon tells the platform that it is ready."""
+    """Return whether a daemon reports that it is ready."""
     return (await vm.fetch("ready", "GET", "/readiness"))[0] == 200
 
 
-def on_platform(test):
-    """Run a test with an empty mesh on a stand-in store."""
+def with_mesh(test):
+    """Run a test with an empty mesh on a stand-in of the store."""
 
     def run(tmp_path):
         async def scenario():
@@ -258,4 +260,4 @@
     return run
 
 
-__all__ = ["Mesh", "Vm", "is_ready", "on_platform", "until"]
+__all__ = ["Mesh", "Vm", "is_ready", "until", "with_mesh"]
--- a/tests/adapter/store_stand_in.py
+++ b/tests/adapter/store_stand_in.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store: rows, conditions, a watch, and faults."""
+"""A stand-in for the platform's store, with rows, watches and faults."""
 
 from __future__ import annotations
 
@@ -15,55 +15,55 @@
 
 
 class StoreStandIn:
-    """Keeps rows in memory and speaks the part of the protocol that is used.
+    """Keeps rows in memory and implements the part of the protocol that is used.
 
-    `status` makes every call fail with it, `is_silent` lets none be answered,
-    `is_losing_answers` does what is asked and breaks the connection, `delay_s`
-    makes each call slow, and `forget_history` makes watches fail as those of a
-    store that has dropped what they ask for.
+    A `status` other than 200 is the answer to every call. `is_silent` leaves calls
+    unanswered, `is_losing_answers` executes calls and breaks their connections, and
+    `delay_s` delays each call. `forget_history` drops the history of changes, so that
+    watches from an earlier version fail.
     """
 
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str], tuple[bytes, int]] = {}
-        self.raw: list[Any] = []
+        self.extra_rows: list[Any] = []
         self.version = 0
-        self.first_version = 0
+        self.first_kept_version = 0
         self.status = 200
         self.is_silent = False
         self.is_losing_answers = False
         self.delay_s = 0.0
         self.n_reads = 0
-        self.page = 500
-        # Sent in the place of any answer where it is set.
-        self.content = b""
+        self.n_page_rows = 500
+        # Replaces the body of each answer if set.
+        self.fixed_answer = b""
         self._changed = asyncio.Event()
         self._server = HttpServer(self._handle, ServerLimits(n_connections_max=100))
 
     async def listen(self) -> str:
-        """Start and return the address."""
+        """Start the server and return its address."""
         port = await self._server.listen("127.0.0.1", 0)
         return f"127.0.0.1:{port}"
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the server."""
         self._server.close()
 
     def put(self, table: str, key: str, value: bytes) -> None:
         """Write a row as the operator would."""
         self.version += 1
         self.rows[table, key] = (value, self.version)
-        self._wake()
+        self._notify_watches()
 
     def forget_history(self) -> None:
-        """Forget all changes up to now and cut every watch."""
-        self.first_version = self.version
-        self._wake()
+        """Drop the history of changes up to now, which ends every watch."""
+        self.first_kept_version = self.version
+        self._notify_watches()
 
     def keys(self, table: str) -> list[str]:
-        """Return the keys of a table."""
+        """Return the keys of a table in order."""
         return sorted(key for name, key in self.rows if name == table)
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -87,14 +87,14 @@
             exchange.abort()
             return
         content = {**content, "resource_version": self.version, "now_ms": 0}
-        answer = self.content or json.dumps(content).encode()
+        answer = self.fixed_answer or json.dumps(content).encode()
         await exchange.respond(status, _JSON, answer)
 
-    def _transact(self, sent: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        for row in sent["upserts"]:
+    def _transact(self, transaction: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+        for row in transaction["upserts"]:
             value = base64.b64decode(row["value"])
             self.put(row["table"], row["key"], value)
-        for row in sent["deletes"]:
+        for row in transaction["deletes"]:
             self.rows.pop((row["table"], row["key"]), None)
             self.version += 1
         return 200, {}
@@ -108,26 +108,29 @@
             for name in sorted(self.rows)
             if name[0] == query["table"] and start <= name[1] < end
         ]
-        rows = [self._row(name) for name in names[: self.page]]
-        return 200, {"rows": [*rows, *self.raw], "has_more": len(names) > self.page}
+        rows = [self._row(name) for name in names[: self.n_page_rows]]
+        return 200, {
+            "rows": [*rows, *self.extra_rows],
+            "has_more": len(names) > self.n_page_rows,
+        }
 
     async def _feed(self, query: dict[str, str]) -> tuple[int, dict[str, Any]]:
         after = int(query["after"])
         deadline_s = asyncio.get_running_loop().time() + int(query["wait_ms"]) / 1000
         while True:
-            if after < self.first_version:
+            if after < self.first_kept_version:
                 return 410, {}
             rows = [
                 self._row(name)
                 for name, (_, version) in self.rows.items()
                 if name[0] == query["table"] and version > after
             ]
-            left_s = deadline_s - asyncio.get_running_loop().time()
-            if rows or left_s <= 0:
+            remaining_s = deadline_s - asyncio.get_running_loop().time()
+            if rows or remaining_s <= 0:
                 return 200, {"rows": rows}
-            waiting = self._changed.wait()
+            change = self._changed.wait()
             try:
-                await asyncio.wait_for(waiting, left_s)
+                await asyncio.wait_for(change, remaining_s)
             except TimeoutError:
                 continue
 
--- a/tests/adapter/test_documents.py
+++ b/tests/adapter/test_documents.py
@@ -1,4 +1,4 @@
-"""The operator's document: read whole, or not at all."""
+"""Tests of reading the operators' document, which is rejected whole if faulty."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     assert (first.priority, second.priority) == ("urgent", "normal")
 
 
-def test_large_answers_may_be_repeated():
+def test_download_routes_are_idempotent():
     found = read_document(document(1, rule("m", "/m/", "vault", route_type="download")))
     assert found.unwrap().intent.routes[0].is_idempotent
 
 
-def test_split_shares_a_route_between_services():
+def test_traffic_split_divides_a_route_between_services():
     parts = [{"service": "ledger", "weight": 90}, {"service": "vault", "weight": 10}]
     split = rule("s", "/s/", "", action={"traffic_split": parts})
     route = read_document(document(1, split)).unwrap().intent.routes[0]
@@ -45,8 +45,8 @@
     ]
 
 
-def test_order_of_ranks_counts_and_not_their_figures():
-    """An operator uses four ranks; the two least urgent share a priority."""
+def test_priority_follows_the_order_of_ranks_not_their_values():
+    """An operator uses four ranks, of which the two least urgent share a priority."""
     rules = [rule(f"r{n}", f"/{n}/", "ledger", priority=n) for n in (0, 3, 5, 9)]
     routes = read_document(document(1, *rules)).unwrap().intent.routes
     assert [route.priority for route in routes] == [
@@ -58,18 +58,20 @@
 
 
 FAULTY = {
-    "no JSON": document()[:-9],
-    "no table": b"[]",
+    "truncated JSON": document()[:-9],
+    "no object": b"[]",
     "no UTF-8": b"\xff\xfe",
-    "no version": document(version="x"),
-    "another version": json.dumps({"version": "12"}).encode(),
+    "invalid version": document(version="x"),
+    "version without prefix": json.dumps({"version": "12"}).encode(),
     "no limits": document(limits=None),
-    "a limit that is text": document(limits={"max_header_bytes": "16384"}),
+    "a limit that is a string": document(limits={"max_header_bytes": "16384"}),
     "no listeners": document(listeners={}),
     "a prefix without slashes": document(1, rule("a", "logs", "ledger")),
-    "an unknown type": document(1, rule("a", "/a/", "ledger", route_type="quick")),
+    "an unknown route type": document(
+        1, rule("a", "/a/", "ledger", route_type="quick")
+    ),
     "an unknown service": document(1, rule("a", "/a/", "archive")),
-    "a timeout that is true": document(
+    "a timeout that is a boolean": document(
         1, rule("a", "/a/", "ledger", action={"timeout_ms": True})
     ),
     "no attempts": document(1, rule("a", "/a/", "ledger", action={"attempts": 0})),
@@ -77,11 +79,11 @@
         1,
         rule("a", "/a/", "", action={"traffic_split": [{"service": "ledger"}]}),
     ),
-    "a timeout beyond any number": document(
+    "a timeout out of range": document(
         1, rule("a", "/a/", "ledger", action={"timeout_ms": 10**400})
     ),
-    "a version beyond any number": document(version="r" + "9" * 5000),
-    "a table nested without end": document()[:-1]
+    "a version out of range": document(version="r" + "9" * 5000),
+    "a deeply nested value": document()[:-1]
     + b',"x":'
     + b"[" * 200_000
     + b"]" * 200_000
@@ -94,21 +96,21 @@
 
 
 @pytest.mark.parametrize("fault", FAULTY)
-def test_faulty_document_is_refused_as_a_whole(fault):
-    """Another writer, or a cut one, leaves a document that is not right.
+def test_faulty_document_is_rejected_as_a_whole(fault):
+    """Another program writes the document, or a write of it is truncated.
 
-    Read in part, it would send requests to a service that is not there.
+    If parts of it were used, requests would be sent to a service that does not exist.
     """
     read = read_document(FAULTY[fault])
     assert read.is_err()
     assert all(item.where for item in read.unwrap_err())
 
 
-def test_next_version_reads_as_if_it_were_the_first():
-    """Versions change a route, drop one, move one to another host, and the ranks.
+def test_route_cache_does_not_change_how_a_version_is_read():
+    """Versions change a route, drop one, move one to another host and change ranks.
 
-    A route that was taken over from the version before, though it has changed, would
-    send requests where the operator no longer wants them.
+    A route reused from the previous version although it has changed would send requests
+    to a destination that the operator has removed.
     """
     logs = rule("logs", "/logs/", "ledger")
     maps = rule("maps", "/maps/", "vault", priority=3)
--- a/tests/adapter/test_heartbeats.py
+++ b/tests/adapter/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of the VM's instance, and those of others."""
+"""Tests of reading heartbeats of the VM's instance and of other senders."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def read(**changes):
-    """Read a heartbeat with some fields changed; None leaves one out."""
+    """Read a heartbeat with some fields changed; None omits a field."""
     table = {**GOOD, **changes}
     sent = {key: value for key, value in table.items() if value is not None}
     return read_heartbeat("i-1", json.dumps(sent).encode(), SETTINGS)
@@ -46,7 +46,7 @@
     assert (announcement.start_ms, announcement.sequence) == (GOOD["born"], 4)
 
 
-def test_instance_that_just_started_is_cold_and_a_leaving_one_drains():
+def test_starting_instance_is_cold_and_leaving_instance_is_draining():
     assert read(cold_remaining_ms=900).unwrap().target.state is TargetState.COLD
     leaving = read(state="draining", cold_remaining_ms=900).unwrap()
     assert leaving.target.state is TargetState.DRAINING
@@ -72,11 +72,11 @@
         {"zone": 7},
     ],
 )
-def test_heartbeat_that_is_not_right_in_every_field_names_no_instance(changes):
-    """Another program writes heartbeats, by mistake or in bad faith.
+def test_heartbeat_with_any_invalid_field_is_rejected(changes):
+    """Another program sends heartbeats, by mistake or maliciously.
 
-    Taken as it is, it would send requests to an address where nobody, or
-    somebody else, listens.
+    If they were accepted, requests would be sent to an address where no process, or
+    another one, listens.
     """
     assert read(**changes).is_err()
 
@@ -84,5 +84,5 @@
 @pytest.mark.parametrize(
     "body", [b"", b"\xff", b"[]", b"7", b'{"service":', b"[" * 60_000]
 )
-def test_bytes_that_can_not_be_read_name_no_instance(body):
+def test_malformed_heartbeat_body_is_rejected(body):
     assert read_heartbeat("i-1", body, SETTINGS).is_err()
--- a/tests/adapter/test_process_platform.py
+++ b/tests/adapter/test_process_platform.py
@@ -1,4 +1,4 @@
-"""Real daemons on a stand-in of the platform: the whole path."""
+"""End-to-end tests of daemon processes on a stand-in of the platform."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 from pepperstair_http import header_value
 from tests.adapter.documents import document, rule
-from tests.adapter.mesh import is_ready, on_platform, until
+from tests.adapter.mesh import is_ready, until, with_mesh
 
 LONG_WORK_S = 1.0
 
 
-@on_platform
+@with_mesh
 async def test_request_goes_through_two_daemons_to_an_instance(mesh):
     mesh.store.put("op", "config", document(7))
     caller = await mesh.add("vm-1", "vault")
-    beside = await mesh.add("vm-2", "ledger")
-    await mesh.ready()
+    callee = await mesh.add("vm-2", "ledger")
+    await mesh.wait_until_ready()
     assert await caller.call() == (200, b"vm-2")
-    (headers,) = beside.heads
+    (headers,) = callee.received_headers
     assert header_value(headers, b"x-caller-service") == b"vault"
     assert header_value(headers, b"x-expected-instance") == b"i-vm-2"
     assert 0 < int(header_value(headers, b"x-request-timeout-ms")) <= 800
@@ -30,36 +30,36 @@
     async def is_written() -> bool:
         return mesh.store.keys("members") == ["member/vm-1", "member/vm-2"]
 
-    await until(is_written, "the rows of both daemons")
+    await until(is_written, "the rows of both daemons are written")
     status, _, metrics = await caller.fetch("metrics", "GET", "/metrics")
     assert status == 200 and b"pepperstair_calls_total" in metrics
 
 
-@on_platform
-async def test_new_version_is_in_force_everywhere_and_a_bad_one_nowhere(mesh):
-    """The operator writes a new version, then somebody a broken one."""
+@with_mesh
+async def test_new_version_is_in_force_everywhere_and_an_invalid_one_nowhere(mesh):
+    """The operator writes a new version, and then a truncated one is written."""
     mesh.store.put("op", "config", document(7))
     caller = await mesh.add("vm-1", "ledger")
     other = await mesh.add("vm-2", "vault")
-    await mesh.ready()
+    await mesh.wait_until_ready()
     assert (await caller.call())[1] == b"vm-1"
     mesh.store.put("op", "config", document(9, rule("logs", "/logs/", "vault")))
 
-    async def is_moved() -> bool:
-        found = [(await vm.call())[1] for vm in (caller, other)]
-        return found == [b"vm-2", b"vm-2"]
+    async def is_in_force() -> bool:
+        bodies = [(await vm.call())[1] for vm in (caller, other)]
+        return bodies == [b"vm-2", b"vm-2"]
 
-    await until(is_moved, "both route by the new version")
+    await until(is_in_force, "both daemons route by the new version")
     mesh.store.put("op", "config", document(12)[:-7])
     await asyncio.sleep(0.6)
     assert (await caller.call())[1] == b"vm-2"
 
 
-@on_platform
-async def test_daemon_without_any_configuration_refuses_as_not_run(mesh):
-    """A daemon starts while the store is away; nobody can tell it the routes.
+@with_mesh
+async def test_daemon_without_any_configuration_answers_503(mesh):
+    """A daemon starts during an outage of the store, without any source of routes.
 
-    An answer that the route does not exist would be false.
+    An answer with 404 would wrongly say that the route does not exist.
     """
     mesh.store.status = 503
     vm = await mesh.add("vm-1", "ledger")
@@ -67,17 +67,17 @@
     assert (await vm.call())[0] == 503
     mesh.store.status = 200
     mesh.store.put("op", "config", document(7))
-    await mesh.ready()
+    await mesh.wait_until_ready()
     assert await vm.call() == (200, b"vm-1")
 
 
-@on_platform
-async def test_daemon_that_restarts_while_the_store_is_away_asks_its_neighbours(mesh):
-    """The store is down and a daemon is killed and started again."""
+@with_mesh
+async def test_daemon_restarted_during_a_store_outage_reads_from_its_neighbours(mesh):
+    """A daemon is killed and restarted during an outage of the store."""
     mesh.store.put("op", "config", document(7))
     first = await mesh.add("vm-1", "ledger")
     await mesh.add("vm-2", "ledger")
-    await mesh.ready()
+    await mesh.wait_until_ready()
     mesh.store.status = 503
     first.process.kill()
     first.process.wait()
@@ -86,31 +86,31 @@
     assert (await first.call())[0] == 200
 
 
-@on_platform
-async def test_acknowledged_draining_keeps_new_work_away(mesh):
-    """An instance says that it drains; requests go on coming."""
+@with_mesh
+async def test_draining_instance_gets_no_new_requests_once_acknowledged(mesh):
+    """An instance announces that it drains while requests keep arriving."""
     mesh.store.put("op", "config", document(7))
     leaving = await mesh.add("vm-1", "ledger")
     await mesh.add("vm-2", "ledger")
-    await mesh.ready()
+    await mesh.wait_until_ready()
     assert await leaving.heartbeat("draining") == 200
-    n_before = len(leaving.heads)
-    answered = [await leaving.call(request_id=f"r{index}") for index in range(20)]
-    assert answered == [(200, b"vm-2")] * 20
-    assert len(leaving.heads) == n_before
+    n_received_before = len(leaving.received_headers)
+    answers = [await leaving.call(request_id=f"r{index}") for index in range(20)]
+    assert answers == [(200, b"vm-2")] * 20
+    assert len(leaving.received_headers) == n_received_before
 
 
-@on_platform
+@with_mesh
 async def test_acknowledged_deregistration_outlives_the_daemon(mesh):
-    """An instance deregisters and the daemon beside it is killed. A heartbeat that
-    was held up arrives at the next process.
+    """A daemon is killed after it has acknowledged that its instance deregisters.
 
-    Its callers would be sent to the instance until it ends under them.
+    A delayed heartbeat of the instance then reaches the restarted daemon. If it were
+    accepted, requests would be sent to the instance and fail as it ends.
     """
     mesh.store.put("op", "config", document(7))
     leaving = await mesh.add("vm-1", "ledger")
     await mesh.add("vm-2", "ledger")
-    await mesh.ready()
+    await mesh.wait_until_ready()
     path = "/Instances.Deregister/i-vm-1"
     assert (await leaving.fetch("control_plane", "POST", path))[0] == 200
     leaving.process.kill()
@@ -120,35 +120,35 @@
     async def is_acknowledged() -> bool:
         return await leaving.heartbeat() == 200
 
-    await until(is_acknowledged, "the new process takes heartbeats")
+    await until(is_acknowledged, "the new process accepts heartbeats")
     await until(lambda: is_ready(leaving), "the new process is ready")
-    n_before = len(leaving.heads)
-    answered = [await leaving.call(request_id=f"r{index}") for index in range(20)]
-    assert {body for status, body in answered if status == 200} <= {b"vm-2"}
-    assert len(leaving.heads) == n_before
+    n_received_before = len(leaving.received_headers)
+    answers = [await leaving.call(request_id=f"r{index}") for index in range(20)]
+    assert {body for status, body in answers if status == 200} <= {b"vm-2"}
+    assert len(leaving.received_headers) == n_received_before
 
 
 @pytest.mark.parametrize("on_side", ["caller", "instance"])
-def test_stopped_daemon_finishes_what_it_has(tmp_path, on_side):
-    """The platform stops a daemon while requests run through it.
+def test_stopping_daemon_finishes_calls_in_flight(tmp_path, on_side):
+    """The platform stops a daemon while it has calls in flight.
 
-    They get their answers, those that come in the next two seconds too, and the
-    process ends by itself before it would be killed.
+    These calls are answered, as are those that arrive in the next two seconds, and the
+    process exits before the platform would kill it.
     """
 
     async def scenario(mesh):
         long_rule = rule("logs", "/logs/", "ledger", action={"timeout_ms": 3000})
         mesh.store.put("op", "config", document(7, long_rule))
         caller = await mesh.add("vm-1", "vault")
-        beside = await mesh.add("vm-2", "ledger")
-        await mesh.ready()
-        beside.work_s = LONG_WORK_S
+        callee = await mesh.add("vm-2", "ledger")
+        await mesh.wait_until_ready()
+        callee.work_s = LONG_WORK_S
         calls = [
             asyncio.create_task(caller.call(request_id=f"r{index}"))
             for index in range(4)
         ]
         await asyncio.sleep(0.3)
-        stopped = caller if on_side == "caller" else beside
+        stopped = caller if on_side == "caller" else callee
         stopped.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.2)
         assert not await is_ready(stopped)
@@ -158,43 +158,43 @@
         ended = asyncio.to_thread(stopped.process.wait, 6)
         assert await ended == 0
 
-    on_platform(scenario)(tmp_path)
+    with_mesh(scenario)(tmp_path)
 
 
 @pytest.mark.parametrize("on_side", ["caller", "instance"])
 def test_stop_lasts_as_long_as_a_long_call_where_the_grace_allows_it(tmp_path, on_side):
-    """Guards against a daemon that gives up a call while its target is at work."""
+    """Guards against a daemon that abandons a call while its target runs it."""
 
     async def scenario(mesh):
         mesh.bounds = "grace_s = 10\n"
         long_rule = rule("logs", "/logs/", "ledger", action={"timeout_ms": 10_000})
         mesh.store.put("op", "config", document(7, long_rule))
         caller = await mesh.add("vm-1", "vault")
-        beside = await mesh.add("vm-2", "ledger")
-        await mesh.ready()
-        beside.work_s = 8.0
+        callee = await mesh.add("vm-2", "ledger")
+        await mesh.wait_until_ready()
+        callee.work_s = 8.0
         calling = asyncio.create_task(caller.call(timeout_ms=10_000))
         await asyncio.sleep(0.3)
-        stopped = caller if on_side == "caller" else beside
+        stopped = caller if on_side == "caller" else callee
         stopped.process.send_signal(signal.SIGTERM)
         assert await calling == (200, b"vm-2")
         ended = asyncio.to_thread(stopped.process.wait, 2)
         assert await ended == 0
 
-    on_platform(scenario)(tmp_path)
+    with_mesh(scenario)(tmp_path)
 
 
-@on_platform
+@with_mesh
 async def test_stopped_daemon_answers_what_it_can_not_finish(mesh):
-    """The platform stops a daemon while an instance works on a request for long.
+    """The platform stops a daemon while an instance runs a long request.
 
-    A closed connection would leave the caller without knowing whether it may
-    send the request again; the daemon says that nobody knows, just in time.
+    A closed connection would not tell the caller whether it may retry the request.
+    The daemon answers in time that the outcome is unknown.
     """
     long_rule = rule("logs", "/logs/", "ledger", action={"timeout_ms": 30_000})
     mesh.store.put("op", "config", document(7, long_rule))
     vm = await mesh.add("vm-1", "ledger")
-    await mesh.ready()
+    await mesh.wait_until_ready()
     vm.work_s = 30.0
     calling = asyncio.create_task(vm.call(timeout_ms=30_000))
     await asyncio.sleep(0.3)
@@ -203,16 +203,16 @@
     assert await asyncio.to_thread(vm.process.wait, 2) == 0
 
 
-@on_platform
+@with_mesh
 async def test_signals_that_come_until_the_end_do_not_change_how_it_ends(mesh):
-    """The platform stops a daemon and sends further signals until it is gone.
+    """The platform stops a daemon and sends further signals until it has exited.
 
-    Between the end of its event loop and that of the process nobody handles them; a
-    stop that was clean would look like a crash.
+    The event loop does not handle signals that arrive between its own end and that of
+    the process; with their default action a clean stop would look like a crash.
     """
     mesh.store.put("op", "config", document(7))
     vm = await mesh.add("vm-1", "ledger")
-    await mesh.ready()
+    await mesh.wait_until_ready()
     vm.process.send_signal(signal.SIGTERM)
     while vm.process.poll() is None:
         vm.process.send_signal(signal.SIGHUP)
@@ -221,12 +221,12 @@
     assert vm.process.returncode == 0
 
 
-@on_platform
-async def test_sighup_cuts_nothing(mesh):
-    """The settings file changes and the platform says so by a signal."""
+@with_mesh
+async def test_sighup_does_not_interrupt_calls(mesh):
+    """The platform signals a change of the settings file by SIGHUP."""
     mesh.store.put("op", "config", document(7))
     vm = await mesh.add("vm-1", "ledger")
-    await mesh.ready()
+    await mesh.wait_until_ready()
     vm.work_s = 0.5
     running = asyncio.create_task(vm.call())
     await asyncio.sleep(0.2)
--- a/tests/adapter/test_settings.py
+++ b/tests/adapter/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform fills from the template."""
+"""Tests of the settings file that the platform renders from the template."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def filled(bounds: str = BOUNDS, **changes: str) -> str:
-    """Return the template as the platform would fill it."""
+    """Return the template as the platform would render it."""
     fields = {**FIELDS, **changes}
     text = re.sub(
         r"\{\{#bounds\}\}.*?\{\{/bounds\}\}", bounds, TEMPLATE.read_text(), flags=re.S
@@ -46,7 +46,7 @@
     assert settings.adapter.target_address == "10.1.0.38:8145"
     bounds = settings.adapter.bounds
     assert (bounds.retry_ratio, bounds.n_retries_min) == (0.3, 9)
-    # A bound that is not stated has the platform's usual figure.
+    # A missing bound has the platform's default.
     assert bounds.retry_window_ms == 10_000
 
 
@@ -58,12 +58,12 @@
 
 
 @pytest.mark.parametrize("grace_s", [6, 10, 30])
-def test_calls_in_flight_get_the_time_that_the_platform_gives(grace_s):
-    """Guards against answers in the place of a target that is still at work."""
+def test_drain_timeout_uses_the_grace_period_of_the_platform(grace_s):
+    """Guards against a daemon that answers a call while its target still runs it."""
     settings = parse_all_settings(filled(f"grace_s = {grace_s}\n")).unwrap()
     calls = settings.product.calls
     stop_ms = calls.stop_notice_ms + calls.drain_timeout_ms
-    # Work that lasts into the last sixth may be cut.
+    # Calls that run into the last sixth of the grace period may be cut off.
     assert grace_s * 1000 * 5 / 6 <= stop_ms <= grace_s * 1000 - 500
 
 
@@ -77,12 +77,12 @@
         (filled().replace("10.1.0.38:8147", "nowhere"), "callers.address"),
     ],
 )
-def test_fault_of_the_settings_is_named(text, where):
+def test_faulty_setting_is_reported_with_its_path(text, where):
     faults = parse_all_settings(text).unwrap_err()
     assert any(fault.where == where for fault in faults)
 
 
-def test_streams_on_a_slow_link_may_be_silent_for_longer():
+def test_slow_link_allows_longer_silence_of_streams():
     fast = parse_all_settings(filled()).unwrap().product.calls
     slow = parse_all_settings(filled(**{"limits.link_mbps": "5.0"})).unwrap()
     assert fast.stream_silence_ms == 504
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, against a stand-in that fails."""
+"""Tests of the client of the platform's store, against a stand-in with faults."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def with_store(test):
-    """Run a test with a stand-in and a client of it."""
+    """Run a test with a stand-in of the store and a client for it."""
 
     @functools.wraps(test)
     def run(*arguments, **named):
@@ -33,7 +33,7 @@
 
         asyncio.run(scenario())
 
-    # pytest gives only what it knows of; the other two come from here.
+    # The first two parameters are passed here; pytest must not look for fixtures.
     signature = inspect.signature(test)
     own = list(signature.parameters.values())[2:]
     run.__signature__ = signature.replace(parameters=own)
@@ -42,7 +42,7 @@
 
 @with_store
 async def test_table_is_read_page_by_page(stand_in, store):
-    stand_in.page = 2
+    stand_in.n_page_rows = 2
     for index in range(5):
         stand_in.put("t", f"k{index}", b"%d" % index)
     read = (await store.read("t")).unwrap()
@@ -51,22 +51,23 @@
 
 
 @with_store
-async def test_watch_returns_with_the_change(stand_in, store):
+async def test_watch_returns_the_changed_rows(stand_in, store):
     table = StoreTable(store, "op")
     position = (await table.read()).unwrap().position
-    waiting = asyncio.create_task(table.wait(position, 5000))
+    watch_task = asyncio.create_task(table.wait(position, 5000))
     await asyncio.sleep(0.05)
     stand_in.put("op", "config", b"new")
-    changed = (await waiting).unwrap()
+    changed = (await watch_task).unwrap()
     assert [(row.key, row.value) for row in changed.rows] == [("config", b"new")]
     assert (await table.wait(changed.position, 10)).unwrap().rows == ()
 
 
 @with_store
-async def test_watch_of_a_history_that_is_gone_says_so(stand_in, store):
-    """The store drops its history while a daemon was away.
+async def test_watch_before_the_kept_history_fails_as_expired(stand_in, store):
+    """The store drops its history of changes while a daemon is disconnected.
 
-    A daemon that went on from where it was would never hear of what it missed.
+    If the daemon continued from its last position, it would never receive the changes
+    that it missed.
     """
     stand_in.put("op", "config", b"new")
     stand_in.forget_history()
@@ -79,10 +80,10 @@
 async def test_refused_call_is_a_failure_and_not_an_empty_table(
     stand_in, store, status
 ):
-    """The store turns this VM away.
+    """The store refuses the calls of this VM.
 
-    An answer without rows taken for an empty table would take every other
-    daemon out of the fleet.
+    If such an answer were read as an empty table, every other daemon would be removed
+    from the fleet.
     """
     stand_in.put("t", "k", b"1")
     stand_in.status = status
@@ -91,17 +92,17 @@
 
 
 @with_store
-async def test_silent_store_is_given_up_in_time(stand_in, store):
-    """The store takes the connection and never answers; the row may be written."""
+async def test_call_to_a_silent_store_times_out(stand_in, store):
+    """The store accepts the connection and never answers; the row may be written."""
     stand_in.is_silent = True
     failure = (await store.transact([], [])).unwrap_err()
     assert failure.kind is ErrorKind.CHANGE_OUTCOME_UNKNOWN
 
 
 @with_store
-async def test_rows_that_others_wrote_badly_are_left_out(stand_in, store):
+async def test_malformed_rows_are_skipped(stand_in, store):
     stand_in.put("members", "member/a", b"{}")
-    stand_in.raw = [
+    stand_in.extra_rows = [
         {"key": "member/b", "value": "no base64!"},
         {"key": "member/c"},
         {"value": "AAAA"},
@@ -121,8 +122,8 @@
 
 
 @with_store
-async def test_answer_nested_without_end_is_a_failure(stand_in, store):
-    """Guards against an answer that ends the task which reads it."""
-    stand_in.content = b"[" * 60_000
+async def test_deeply_nested_answer_is_a_failure(stand_in, store):
+    """Guards against an answer that ends the reading task by an exception."""
+    stand_in.fixed_answer = b"[" * 60_000
     read = await store.read("t")
     assert read.unwrap_err().kind is ErrorKind.PLATFORM_UNAVAILABLE
