--- a/packages/pepperstair-http/pepperstair_http/__init__.py
+++ b/packages/pepperstair-http/pepperstair_http/__init__.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 server and client that pepperstair's peers share, on h11."""
+"""HTTP/1.1 server and client, based on h11, shared by the pepperstair packages."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-http/pepperstair_http/body.py
+++ b/packages/pepperstair-http/pepperstair_http/body.py
@@ -1,4 +1,4 @@
-"""A bounded buffer between the side that receives a body and its reader."""
+"""A buffer with backpressure between the receiver of a body and its reader."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 
 from .messages import Headers
 
+# A connection stops reading while more of a body than this is buffered.
 HIGH_WATER_BYTES: Final = 262_144
 
 
 class ConnectionLostError(Exception):
-    """The connection ended before the message was whole."""
+    """The connection closed before the message was complete."""
 
 
 class BodyBuffer:
-    """Holds the parts of one body until they are read.
+    """Buffers the parts of one body until they are read.
 
-    `on_consumed` is told of each part that was read, so that the receiving
-    side can ask for more; without that, a slow reader of a 64 MB body would
-    make this process hold all of it. `on_wait` is called when the reader begins
-    to wait for a part that has not arrived.
+    `on_consumed` is called with the size of each part that is read, so that the
+    receiver can resume. Without this backpressure, a slow reader of a 64 MB body would
+    make this process hold all of it. `on_wait` is called when the reader starts to
+    wait for a part that has not arrived.
 
     >>> body = BodyBuffer.of(b"loot")
     >>> asyncio.run(body.read())
@@ -58,7 +59,7 @@
 
     @classmethod
     def of(cls, data: bytes) -> BodyBuffer:
-        """Return a body that is whole already."""
+        """Return a complete body that contains `data`."""
         body = cls()
         if data:
             body.feed(data)
@@ -72,29 +73,29 @@
 
     @property
     def is_empty(self) -> bool:
-        """Return whether the body is whole and nothing is left to read."""
+        """Return whether the body is complete and has been read to its end."""
         return self._is_whole and not self._parts
 
     def feed(self, data: bytes) -> None:
-        """Add a part that arrived."""
+        """Append a received part."""
         self._parts.append(data)
         self.n_bytes += len(data)
         self._wake()
 
     def finish(self) -> None:
-        """Mark the body as whole."""
+        """Mark the body as complete."""
         self._is_whole = True
         self._wake()
 
     def fail(self, error: Exception) -> None:
-        """End the body as cut: the reader gets the error, never an end."""
+        """Mark an incomplete body as cut off; `read` then raises the error."""
         if self._is_whole or self._error is not None:
             return
         self._error = error
         self._wake()
 
     async def read(self) -> bytes:
-        """Return the next part, b"" at the end, or raise where it was cut."""
+        """Return the next part, b"" at the end, or raise if the body was cut off."""
         while not self._parts:
             if self._error is not None:
                 raise self._error
@@ -104,18 +105,18 @@
                 self._on_wait()
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
-        return self._take()
+        return self._pop_part()
 
     def read_nowait(self) -> bytes:
-        """Return the next part that is here already, or b""."""
-        return self._take() if self._parts else b""
+        """Return the next part that has already arrived, or b""."""
+        return self._pop_part() if self._parts else b""
 
     async def read_all(
         self, max_bytes: int, on_part: Callable[[], None] | None = None
     ) -> bytes | None:
-        """Return the whole body, or None once it exceeds the limit.
+        """Return the complete body, or None if it exceeds `max_bytes`.
 
-        `on_part` is called for each part that has arrived.
+        `on_part` is called after each part is read.
         """
         parts = []
         n_bytes = 0
@@ -129,9 +130,10 @@
         return b"".join(parts)
 
     async def gather(self, max_bytes: int) -> None:
-        """Wait until the body is whole or fills `max_bytes`; raise where it is cut.
+        """Wait until the body is complete or `max_bytes` of it are buffered.
 
-        Nothing is taken from the body, so that its reader still gets all of it.
+        Raise if the body is cut off. Nothing is consumed, so that the reader still
+        gets the whole body.
         """
         while not self._is_whole and self.n_bytes < max_bytes:
             if self._error is not None:
@@ -139,7 +141,7 @@
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
 
-    def _take(self) -> bytes:
+    def _pop_part(self) -> bytes:
         data = self._parts.popleft()
         self.n_bytes -= len(data)
         self.n_read_bytes += len(data)
@@ -156,8 +158,8 @@
 class StreamedResponse(Struct, frozen=True):
     """A response whose body may still be arriving.
 
-    `cancel` says that nobody wants the rest of it; after a body that was read
-    to its end it does nothing.
+    `cancel` discards the rest of the body; after a body that was read to its end it
+    does nothing.
     """
 
     status: int
--- a/packages/pepperstair-http/pepperstair_http/client.py
+++ b/packages/pepperstair-http/pepperstair_http/client.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 client connection on h11."""
+"""An HTTP/1.1 client connection, based on h11."""
 
 from __future__ import annotations
 
@@ -12,24 +12,26 @@
 from .messages import Headers, ResponseHead, header_value
 from .receiving import ReceivingProtocol
 from .sockets import notice_silence
-from .writing import WriteGate, break_transport
+from .writing import WriteGate, reset_connection
 
 log = structlog.get_logger(__name__)
 
 _HEAD_MAX_BYTES: Final = 65_536
-_ANY_HOST: Final = [("host", "replayed")]
+# Headers of the placeholder request that prepares a new h11 connection for the next
+# answer; it is never sent.
+_REPLAYED_HEADERS: Final = [("host", "replayed")]
 
 
 class ClientConnection(ReceivingProtocol):
-    """A connection that carries one request at a time.
+    """A connection that handles one request at a time.
 
-    `request` writes the head, `send_part` and `finish` the body, `read_head`
-    waits for the answer, whose body arrives in `body`. After a whole answer
-    `is_reusable` says whether another request may follow.
+    `start` writes the head of a request, `send_part` and `finish` its body. `read_head`
+    waits for the answer, whose body arrives in `body`. After a complete answer,
+    `is_reusable` states whether another request may follow.
 
-    A peer may send more than it was asked for: a second answer, at once or
-    late, is no answer to the next request. A connection with surplus bytes is
-    never used again, and an answer that echoes another request's id is skipped.
+    A peer may send more data than requested: a second answer, immediate or late, does
+    not belong to the next request. A connection with surplus bytes is never reused, and
+    an answer that echoes the id of another request is skipped.
     """
 
     def __init__(self) -> None:
@@ -39,8 +41,8 @@
         self._transport: asyncio.Transport | None = None
         self._gate = WriteGate()
         self._head: asyncio.Future[ResponseHead] | None = None
-        self._echo: tuple[bytes, bytes] | None = None
-        self._is_foreign = False
+        self._echoed_header: tuple[bytes, bytes] | None = None
+        self._is_mismatched = False
         self._has_surplus = False
         self.body = BodyBuffer()
         self.keep_alive_s: float | None = None
@@ -48,7 +50,7 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Return whether the last exchange is complete and the peer still there."""
+        """Return whether the last exchange is complete and the connection open."""
         return (
             self._transport is not None
             and not self._transport.is_closing()
@@ -74,7 +76,9 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._gate.lose()
-        self._fail(ConnectionLostError("the connection was lost"))
+        self._fail(
+            ConnectionLostError("connection lost before the answer was complete")
+        )
 
     def pause_writing(self) -> None:
         self._gate.close()
@@ -88,18 +92,18 @@
         path: str,
         headers: Headers,
         body: bytes | None = None,
-        echo: tuple[bytes, bytes] | None = None,
+        echoed_header: tuple[bytes, bytes] | None = None,
     ) -> None:
-        """Write a request's head and, where it is whole already, its body.
+        """Write the head of a request and, unless `body` is None, its whole body.
 
-        `echo` is a header that the answer has to repeat.
+        `echoed_header` is a name and value that the answer must repeat.
         """
         if self._h11.our_state is h11.DONE:
             self._h11.start_next_cycle()
         self._head = asyncio.get_running_loop().create_future()
         self.body = BodyBuffer(self._on_body_consumed)
-        self._echo = echo
-        self._is_foreign = False
+        self._echoed_header = echoed_header
+        self._is_mismatched = False
         request = h11.Request(method=method, target=path, headers=list(headers))
         data = self._h11.send(request)
         if body is not None:
@@ -109,60 +113,60 @@
         self._write(data)
 
     async def send_part(self, data: bytes) -> None:
-        """Write a piece of the body, waiting while the peer reads slowly."""
+        """Write a part of the body at the pace the peer reads."""
         self._write(self._h11.send(h11.Data(data=data)))
         if not self._gate.is_open:
             await self._gate.wait()
 
     def finish(self) -> None:
-        """Mark the request's body as whole."""
+        """Write the end of the request body."""
         self._write(self._h11.send(h11.EndOfMessage()) or b"")
 
     async def read_head(self) -> ResponseHead:
-        """Wait for the answer's head, or raise ConnectionLostError."""
+        """Wait for the head of the answer, or raise ConnectionLostError."""
         return await self._head
 
     def notice_silence(self, unacknowledged_ms: int) -> None:
-        """Fail where the peer acknowledges nothing for so long."""
+        """Make the connection fail if sent data stays unacknowledged for so long."""
         notice_silence(self._transport, unacknowledged_ms)
 
     def close(self) -> None:
-        """Break the connection, which cancels a request in progress."""
+        """Reset the connection, which cancels a request in progress."""
         if self._transport is not None:
-            break_transport(self._transport)
+            reset_connection(self._transport)
 
     def _write(self, data: bytes) -> None:
         if self.is_closed:
-            raise ConnectionLostError("the connection was lost")
+            raise ConnectionLostError("the connection is closed")
         if data:
             self._transport.write(data)
 
     def _receive(self, data: bytes) -> None:
         try:
             self._h11.receive_data(data)
-            while self._take(self._h11.next_event()):
+            while self._handle_event(self._h11.next_event()):
                 pass
         except h11.RemoteProtocolError as error:
-            self._fail(ConnectionLostError(f"a malformed answer: {error}"))
+            self._fail(ConnectionLostError(f"malformed answer: {error}"))
             self.close()
             return
         if self._h11.their_state is h11.DONE and self._h11.trailing_data[0]:
             self._has_surplus = True
 
-    def _take(self, event: object) -> bool:
-        """Handle one event and return whether more may follow."""
+    def _handle_event(self, event: object) -> bool:
+        """Process one event and return whether to read the next one."""
         if isinstance(event, h11.Data):
-            self._take_body_part(bytes(event.data))
+            self._receive_body_part(bytes(event.data))
             return True
         if isinstance(event, h11.EndOfMessage):
-            if self._is_foreign:
-                return self._skip_foreign()
+            if self._is_mismatched:
+                return self._skip_mismatched()
             self.body.finish()
             return False
         if isinstance(event, h11.Response):
             head = ResponseHead(event.status_code, tuple(event.headers))
-            self._is_foreign = self._answers_another(head)
-            if self._is_foreign:
+            self._is_mismatched = self._has_mismatched_id(head)
+            if self._is_mismatched:
                 return True
             self.keep_alive_s = _keep_alive_s(head.headers)
             if self._head is not None and not self._head.done():
@@ -173,45 +177,46 @@
             return False
         return isinstance(event, h11.InformationalResponse)
 
-    def _answers_another(self, head: ResponseHead) -> bool:
-        """Return whether an answer is that to another request.
+    def _has_mismatched_id(self, head: ResponseHead) -> bool:
+        """Return whether an answer belongs to another request.
 
-        A refusal may come without an id; a success without one is nobody's.
+        A refusal may lack the request id; a 2xx answer without it is not accepted.
         """
-        if self._echo is None:
+        if self._echoed_header is None:
             return False
-        name, expected = self._echo
+        name, expected = self._echoed_header
         found = header_value(head.headers, name)
         if not found:
             return 200 <= head.status < 300
         return found != expected
 
-    def _skip_foreign(self) -> bool:
-        """Drop a whole answer that is not ours, and go on to the next one.
+    def _skip_mismatched(self) -> bool:
+        """Discard a complete answer to another request and continue with the next one.
 
-        h11 takes one answer for each request, so the request is replayed into
-        a fresh state machine, without sending it, and fed what came behind.
+        h11 accepts one answer for each request. Therefore a placeholder request is
+        replayed, without being sent, into a new h11 connection, which then parses the
+        bytes that follow the discarded answer.
         """
         surplus = self._h11.trailing_data[0]
         is_sent = self._h11.our_state is h11.DONE
         is_open = self._h11.their_state is h11.DONE
         if not is_sent or not is_open:
-            self._fail(ConnectionLostError("an answer to another request"))
+            self._fail(ConnectionLostError("received the answer to another request"))
             self.close()
             return False
         self._has_surplus = True
-        self._is_foreign = False
+        self._is_mismatched = False
         self._h11 = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=_HEAD_MAX_BYTES
         )
-        self._h11.send(h11.Request(method="GET", target="/", headers=_ANY_HOST))
+        self._h11.send(h11.Request(method="GET", target="/", headers=_REPLAYED_HEADERS))
         self._h11.send(h11.EndOfMessage())
         if surplus:
             self._h11.receive_data(surplus)
         return True
 
-    def _take_body_part(self, data: bytes) -> None:
-        if self._is_foreign:
+    def _receive_body_part(self, data: bytes) -> None:
+        if self._is_mismatched:
             return
         self.body.feed(data)
         if self.body.n_bytes > HIGH_WATER_BYTES:
@@ -224,14 +229,14 @@
     def _fail(self, error: Exception) -> None:
         if self._head is not None and not self._head.done():
             self._head.set_exception(error)
-            # The reader may have gone already; an error that nobody reads is
-            # no fault and must not be reported by the loop as one.
+            # Mark the exception as retrieved: if the reader was cancelled, asyncio
+            # would otherwise log it as never retrieved.
             self._head.exception()
         self.body.fail(error)
 
 
 def _keep_alive_s(headers: Headers) -> float | None:
-    """Return for how long the peer says that it keeps an idle connection.
+    """Return the idle timeout that the peer announces in `keep-alive`, or None.
 
     >>> _keep_alive_s(((b"keep-alive", b"timeout=10, max=100"),))
     10.0
--- a/packages/pepperstair-http/pepperstair_http/connection.py
+++ b/packages/pepperstair-http/pepperstair_http/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection to the server: its requests, and whose answer is next."""
+"""One client's connection to the server: its requests and their answers in order."""
 
 from __future__ import annotations
 
@@ -12,24 +12,25 @@
 
 from .body import HIGH_WATER_BYTES, BodyBuffer, ConnectionLostError
 from .exchange import Exchange
-from .malformed import TEXT, Rejection, error_events, has_two_lengths
+from .malformed import TEXT, Rejection, error_answer_events, has_ambiguous_length
 from .messages import Request
 from .pipeline import Pipeline
 from .receiving import ReceivingProtocol
 from .server_state import ServerState
-from .writing import WriteGate, break_transport
+from .writing import WriteGate, reset_connection
 
 log = structlog.get_logger(__name__)
 
+# How long incoming data is read and discarded before the connection closes.
 _DISCARD_S: Final = 1.0
 
 
 class ServerConnection(ReceivingProtocol):
     """Receives requests, runs the handler for each and writes their answers.
 
-    Each request has an h11 state of its own, as h11 knows one request at a time:
-    where one is sent ahead of an answer, the bytes behind the earlier request are
-    given to a new state.
+    As h11 handles one request at a time, each request has an h11 connection of its own.
+    When requests are pipelined, the bytes that follow a request are passed to a new
+    h11 connection.
     """
 
     def __init__(self, server: ServerState) -> None:
@@ -41,12 +42,12 @@
         self._pipeline: Pipeline[Exchange] = Pipeline()
         self._tasks: dict[Exchange, asyncio.Task[None]] = {}
         self._turns: dict[Exchange, asyncio.Future[None]] = {}
-        self._n_unread_bytes = 0
+        self._n_unparsed_bytes = 0
         self._rejection: Rejection | None = None
-        self._is_last_announced = False
+        self._is_close_announced = False
         self._is_discarding = False
-        self._waiting_since_s = self._loop.time()
-        self._head_since_s: float | None = None
+        self._last_activity_s = self._loop.time()
+        self._head_start_s: float | None = None
 
     @property
     def is_idle(self) -> bool:
@@ -58,8 +59,8 @@
         self._server.connections.add(self)
         counters = self._server.counters
         counters.n_connections += 1
-        # One client that opens connections without end would use up the file
-        # descriptors of all the others, who would see refused connections.
+        # Without this limit, one client that keeps opening connections would use up the
+        # file descriptors, and all others would have their connections refused.
         if len(self._server.connections) > self._server.limits.n_connections_max:
             counters.n_refused += 1
             self._write_error(503, "too many connections")
@@ -67,12 +68,12 @@
     def data_received(self, data: bytes) -> None:
         if self._is_discarding or self._rejection is not None:
             return
-        now_s = self._waiting_since_s = self._loop.time()
-        if not self._pipeline and self._head_since_s is None:
-            self._head_since_s = now_s
+        now_s = self._last_activity_s = self._loop.time()
+        if not self._pipeline and self._head_start_s is None:
+            self._head_start_s = now_s
         self._h11.receive_data(data)
-        self._n_unread_bytes += len(data)
-        self._advance()
+        self._n_unparsed_bytes += len(data)
+        self._process_events()
 
     def eof_received(self) -> bool:
         return False
@@ -82,45 +83,47 @@
         self._gate.lose()
         newest = self._pipeline.newest
         if newest is not None:
-            newest.body.fail(ConnectionLostError("the client left"))
+            newest.body.fail(ConnectionLostError("the client disconnected"))
         for task in self._tasks.values():
             task.cancel()
 
     def pause_writing(self) -> None:
-        self._waiting_since_s = self._loop.time()
+        self._last_activity_s = self._loop.time()
         self._gate.close()
 
     def resume_writing(self) -> None:
         self._gate.open()
 
     def close(self) -> None:
-        """Close the connection after what was written has been sent."""
+        """Close the connection once all written data has been sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Break the connection at once."""
+        """Reset the connection immediately."""
         if self._transport is not None:
-            break_transport(self._transport)
+            reset_connection(self._transport)
 
     def close_if_stalled(self, now_s: float) -> bool:
-        """Close a connection whose client has done nothing for too long.
+        """Close the connection if its client stalls; return whether it was closed.
 
-        Clients that vanish without closing, send a head byte by byte or stop
-        reading would otherwise hold connections, and the slots of targets behind
-        them, until the caps are reached and everybody else is refused. While
-        the handler is at work nothing is expected of the client.
+        Clients that vanish without closing, send a head byte by byte or stop reading
+        would otherwise hold connections, and the slots of targets behind them, until
+        the limits are reached and all other clients are refused. No timeout applies
+        while only the handler has work to do.
         """
         limits = self._server.limits
-        if not self._pipeline and self._head_since_s is not None:
-            if now_s - self._head_since_s <= limits.head_limit_s:
+        if not self._pipeline and self._head_start_s is not None:
+            if now_s - self._head_start_s <= limits.head_timeout_s:
                 return False
-            self._end_slow_head()
+            self._reject_slow_head()
             return True
         newest = self._pipeline.newest
-        is_awaited = newest is None or not newest.is_whole or not self._gate.is_open
-        silent_s = now_s - self._waiting_since_s
-        if not is_awaited or silent_s < limits.idle_timeout_ms / 1000:
+        is_waiting_for_client = (
+            newest is None or not newest.is_whole or not self._gate.is_open
+        )
+        silent_s = now_s - self._last_activity_s
+        if not is_waiting_for_client or silent_s < limits.idle_timeout_ms / 1000:
             return False
         if newest is None:
             self.close()
@@ -128,12 +131,12 @@
             self.abort()
         return True
 
-    def owns_writing(self, exchange: Exchange) -> bool:
-        """Return whether the answer to this request is the next one to go out."""
+    def is_next_to_answer(self, exchange: Exchange) -> bool:
+        """Return whether all earlier requests of the connection are answered."""
         return self._pipeline.first is exchange
 
     async def wait_for_turn(self, exchange: Exchange) -> None:
-        """Return once all earlier requests are answered."""
+        """Wait until all earlier requests of the connection are answered."""
         turn = self._turns[exchange] = self._loop.create_future()
         try:
             await turn
@@ -141,24 +144,25 @@
             del self._turns[exchange]
 
     def closes_after(self, exchange: Exchange) -> bool:
-        """Decide whether the connection ends with this answer.
+        """Decide whether the connection closes after this answer.
 
-        While the server drains it ends with the last request that has begun. An
-        earlier end would lose the answers to those behind it, which their client
-        takes for unread and sends again; those that have not begun never will.
+        While the server drains, the connection closes after the last request that has
+        begun. An earlier close would lose the answers to the later requests, and the
+        client would assume that these were not processed and send them again. Requests
+        that have not begun by then never run.
         """
         if self._server.is_draining and self._pipeline.is_last_started(exchange):
-            self._is_last_announced = True
-        return self._is_last_announced
+            self._is_close_announced = True
+        return self._is_close_announced
 
     def is_repeatable(self, request: Request) -> bool:
-        """Return whether running a request twice does no harm."""
+        """Return whether a request may safely run twice."""
         return self._server.is_repeatable(request)
 
     async def write(self, data: bytes) -> None:
-        """Write and wait while the client reads slowly, or raise where it left."""
+        """Write at the client's pace; raise ConnectionResetError once it has closed."""
         if self._transport is None or self._transport.is_closing():
-            raise ConnectionResetError("the client left")
+            raise ConnectionResetError("the client disconnected")
         if data:
             self._transport.write(data)
         if not self._gate.is_open:
@@ -168,81 +172,84 @@
         header_max_bytes = self._server.limits.header_max_bytes
         return h11.Connection(h11.SERVER, max_incomplete_event_size=header_max_bytes)
 
-    def _end_slow_head(self) -> None:
-        """Say that the head took too long, where its time has a limit of its own."""
+    def _reject_slow_head(self) -> None:
+        """Answer 408 if heads have a timeout of their own, else reset."""
         if self._server.limits.header_timeout_ms:
             self._write_error(408, "the head of the request did not arrive in time")
         else:
             self.abort()
 
-    def _advance(self) -> None:
-        """Read every event that is complete, as far as there is room for more."""
-        while self._may_read():
+    def _process_events(self) -> None:
+        """Process all complete events that the pipeline has room for."""
+        while self._may_read_event():
             try:
                 event = self._h11.next_event()
             except h11.RemoteProtocolError as error:
                 self._reject(error)
                 break
             if event is h11.NEED_DATA or event is h11.PAUSED:
-                self._n_unread_bytes = 0
+                self._n_unparsed_bytes = 0
                 break
-            self._take(event)
+            self._handle_event(event)
             if isinstance(event, h11.ConnectionClosed) or self._is_discarding:
                 break
-        self._start_waiting()
-        self._set_reading()
+        self._start_requests()
+        self._pause_or_resume_reading()
+
+    def _may_read_event(self) -> bool:
+        """Return whether the next event may be read.
 
-    def _may_read(self) -> bool:
-        """Return whether the next event may be read, from a new state where due."""
+        After the end of a request, create the h11 connection of the next one.
+        """
         if self._rejection is not None:
             return False
         if self._h11.their_state is not h11.DONE:
             return self._h11.their_state is not h11.MUST_CLOSE
         surplus = self._h11.trailing_data[0]
         if not surplus:
-            self._n_unread_bytes = 0
-        if not surplus or self._is_last_announced:
+            self._n_unparsed_bytes = 0
+        if not surplus or self._is_close_announced:
             return False
-        ahead = self._server.limits.ahead
+        limits = self._server.limits.ahead
         if not self._pipeline.has_room(
-            ahead.n_requests_max, ahead.request_max_bytes, ahead.answer_max_bytes
+            limits.n_requests_max, limits.request_max_bytes, limits.answer_max_bytes
         ):
             return False
         self._h11 = self._new_state()
         self._h11.receive_data(surplus)
         return True
 
-    def _set_reading(self) -> None:
-        """Read on only while what was sent ahead stays within its bounds.
+    def _pause_or_resume_reading(self) -> None:
+        """Read from the client only while the buffered data is within its limits.
 
-        A client that leaves while nothing is read from it is noticed once the
+        If a client disconnects while reading is paused, this is detected once the
         next of its requests is answered.
         """
         if self._transport is None or self._transport.is_closing():
             return
         newest = self._pipeline.newest
         is_body_full = newest is not None and newest.n_body_bytes > HIGH_WATER_BYTES
-        n_unread_max = self._server.limits.ahead.request_max_bytes
-        if is_body_full or self._n_unread_bytes > n_unread_max:
+        n_unparsed_max = self._server.limits.ahead.request_max_bytes
+        if is_body_full or self._n_unparsed_bytes > n_unparsed_max:
             self._transport.pause_reading()
         else:
             self._transport.resume_reading()
 
-    def _take(self, event: object) -> None:
+    def _handle_event(self, event: object) -> None:
         if isinstance(event, h11.Data):
             self._pipeline.newest.body.feed(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             self._pipeline.newest.body.finish()
         elif isinstance(event, h11.Request):
-            if has_two_lengths(event):
-                self._reject_with(400, "both a length and chunks")
+            if has_ambiguous_length(event):
+                self._reject_with(400, "both content-length and transfer-encoding")
                 return
             self._add_request(event)
         elif isinstance(event, h11.ConnectionClosed):
             self.close()
 
     def _add_request(self, event: h11.Request) -> None:
-        self._head_since_s = None
+        self._head_start_s = None
         request = Request(
             event.method.decode("ascii"),
             event.target.decode("latin-1"),
@@ -250,14 +257,15 @@
         )
         state = self._h11
         body = BodyBuffer(
-            lambda n_bytes: self._set_reading(), lambda: self._offer_continue(state)
+            lambda n_bytes: self._pause_or_resume_reading(),
+            lambda: self._send_continue(state),
         )
         exchange = Exchange(self, state, request, body, self._loop.time())
         self._pipeline.add(exchange)
 
-    def _start_waiting(self) -> None:
-        """Hand every request to the handler that may begin."""
-        if self._is_discarding or self._is_last_announced:
+    def _start_requests(self) -> None:
+        """Start the handler for every request that may begin."""
+        if self._is_discarding or self._is_close_announced:
             return
         for exchange in self._pipeline.startable():
             if exchange is not self._pipeline.first:
@@ -268,8 +276,11 @@
             exchange.held_s = self._loop.time() - exchange.arrived_s
             self._tasks[exchange] = self._loop.create_task(self._handle(exchange))
 
-    def _offer_continue(self, state: h11.Connection) -> None:
-        """Ask for the body only once the handler reads it: it may refuse it."""
+    def _send_continue(self, state: h11.Connection) -> None:
+        """Send `100 Continue` once the handler reads the body.
+
+        A handler may refuse a request without reading its body.
+        """
         if state.they_are_waiting_for_100_continue:
             response = h11.InformationalResponse(status_code=100, headers=[])
             self._transport.write(state.send(response))
@@ -289,28 +300,28 @@
         self._finish(exchange)
 
     async def _answer_internal_error(self, exchange: Exchange) -> None:
-        if exchange.has_answered:
+        if exchange.has_started_answer:
             self.abort()
             return
         await exchange.respond(500, (TEXT,), b"an unexpected error\n")
         self._finish(exchange)
 
     def _finish(self, exchange: Exchange) -> None:
-        """Go on to the next request, or close where the body was left unread.
+        """Continue with the next request, or close if the body is incomplete.
 
-        Bytes of a body that nobody read would otherwise be taken for the next
-        request, and its answer would go to the wrong one.
+        Otherwise, the remaining bytes of the body would be parsed as the next request,
+        and the client would match its answer with the wrong request.
         """
         self._pipeline.remove_first()
-        self._waiting_since_s = self._loop.time()
+        self._last_activity_s = self._loop.time()
         states = (exchange.state.our_state, exchange.state.their_state)
         if states != (h11.DONE, h11.DONE) or self._transport.is_closing():
-            self._drop_waiting()
+            self._drop_unanswered()
             self._close_discarding()
             return
-        following = self._pipeline.first
-        if following is not None:
-            turn = self._turns.get(following)
+        next_exchange = self._pipeline.first
+        if next_exchange is not None:
+            turn = self._turns.get(next_exchange)
             if turn is not None and not turn.done():
                 turn.set_result(None)
         elif self._rejection is not None:
@@ -319,21 +330,21 @@
         elif exchange.state is self._h11 and not self._h11.trailing_data[0]:
             self._h11.start_next_cycle()
         if self._h11.trailing_data[0] and not self._pipeline:
-            self._head_since_s = self._loop.time()
-        self._advance()
+            self._head_start_s = self._loop.time()
+        self._process_events()
 
-    def _drop_waiting(self) -> None:
-        """Forget requests that were read but have not begun, nor ever will."""
-        n_dropped = self._pipeline.drop_waiting()
+    def _drop_unanswered(self) -> None:
+        """Drop the requests that have not begun and cancel those that are running."""
+        n_dropped = self._pipeline.drop_unstarted()
         self._server.counters.n_dropped += n_dropped
         for task in self._tasks.values():
             task.cancel()
 
     def _close_discarding(self) -> None:
-        """Close, but first read and drop for a moment what is still arriving.
+        """Close the connection after discarding incoming data for `_DISCARD_S`.
 
-        Closing with unread bytes makes the system reset the connection, and the
-        client then loses the refusal that it has not read yet.
+        If a socket is closed with unread data, the kernel resets the connection, and
+        the client loses an error answer that it has not read yet.
         """
         if self._transport.is_closing():
             return
@@ -343,10 +354,10 @@
         self._loop.call_later(_DISCARD_S, self.close)
 
     def _reject(self, error: h11.RemoteProtocolError) -> None:
-        """Answer malformed bytes, after the requests that came before them.
+        """Reject malformed bytes after all earlier requests are answered.
 
-        Where the rest of a request is malformed that has begun already, nothing
-        true can be said of it, and the connection breaks.
+        If they belong to a request that has already begun, its outcome is unknown, and
+        the connection is reset.
         """
         newest = self._pipeline.newest
         if newest is not None and not newest.is_whole:
@@ -365,7 +376,7 @@
 
     def _write_error(self, status: int, text: str) -> None:
         if self._h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            events = error_events(status, text)
+            events = error_answer_events(status, text)
             self._transport.write(b"".join([self._h11.send(event) for event in events]))
         self._close_discarding()
 
--- a/packages/pepperstair-http/pepperstair_http/exchange.py
+++ b/packages/pepperstair-http/pepperstair_http/exchange.py
@@ -1,4 +1,4 @@
-"""One request and the means to answer it, as a handler sees them."""
+"""One request and its answer, as presented to a handler."""
 
 from __future__ import annotations
 
@@ -17,47 +17,47 @@
 
 
 class AnswerChannel(Protocol):
-    """The connection of an exchange, as far as answering needs it."""
+    """The part of a connection that an exchange needs to send its answer."""
 
-    def owns_writing(self, exchange: Exchange) -> bool:
-        """Return whether the answer to this request is the next one to go out."""
+    def is_next_to_answer(self, exchange: Exchange) -> bool:
+        """Return whether all earlier requests of the connection are answered."""
 
     async def wait_for_turn(self, exchange: Exchange) -> None:
-        """Return once all earlier requests are answered."""
+        """Wait until all earlier requests of the connection are answered."""
 
     def closes_after(self, exchange: Exchange) -> bool:
-        """Decide whether the connection ends with this answer."""
+        """Decide whether the connection closes after this answer."""
 
     def is_repeatable(self, request: Request) -> bool:
-        """Return whether running a request twice does no harm."""
+        """Return whether a request may safely run twice."""
 
     async def write(self, data: bytes) -> None:
-        """Write and wait while the client reads slowly, or raise where it left."""
+        """Write at the client's pace; raise ConnectionResetError once it has closed."""
 
     def abort(self) -> None:
-        """Break the connection at once."""
+        """Reset the connection immediately."""
 
 
 class Exchange:
-    """One request with its body, and the means to answer it.
+    """One request with its body, and the methods that send its answer.
 
-    A handler sends either one whole answer with `respond`, or an answer whose
-    body is still arriving with `stream`. Where it cannot finish what it began,
-    it calls `abort`, so that the client sees a broken connection and never
-    takes a cut body for a whole one.
+    A handler sends either a complete answer with `respond`, or an answer whose body
+    is still arriving with `stream`. If it cannot complete an answer, it calls
+    `abort`: the client then sees a reset connection and can't mistake a truncated
+    body for a complete one.
 
-    An answer that comes before its turn waits until those to earlier requests of
-    the connection are out. `state` is h11's for this request and its answer alone;
-    `is_started` says whether the handler has been given it, `held_s` for how long it
-    stood behind others before: its client has waited for that time already.
+    An answer waits until all earlier requests of the connection are answered. `state`
+    is the h11 connection for this request and its answer only. `is_started` is set
+    once the handler runs; `held_s` is how long the request waited behind earlier
+    requests before, which is part of the time that its client has waited.
     """
 
     __slots__ = (
         "_channel",
-        "_held",
+        "_waiting_answer",
         "body",
         "arrived_s",
-        "has_answered",
+        "has_started_answer",
         "held_s",
         "is_started",
         "request",
@@ -75,36 +75,36 @@
         self.arrived_s = arrived_s
         self.held_s = 0.0
         self._channel = channel
-        self._held: BodyBuffer | None = None
+        self._waiting_answer: BodyBuffer | None = None
         self.state = state
         self.request = request
         self.body = body
-        self.has_answered = False
+        self.has_started_answer = False
         self.is_started = False
 
     @property
     def is_whole(self) -> bool:
-        """Return whether the request has arrived to its end."""
+        """Return whether the whole request has arrived."""
         return self.body.is_whole
 
     @property
     def is_repeatable(self) -> bool:
-        """Return whether running the request twice does no harm."""
+        """Return whether the request may safely run twice."""
         return self._channel.is_repeatable(self.request)
 
     @property
     def n_body_bytes(self) -> int:
-        """Return how many bytes of the request's body are held."""
+        """Return the number of buffered bytes of the request body."""
         return self.body.n_bytes
 
     @property
-    def n_held_bytes(self) -> int:
-        """Return how many bytes of the answer wait for their turn."""
-        return self._held.n_bytes if self._held is not None else 0
+    def n_waiting_answer_bytes(self) -> int:
+        """Return the number of bytes of the answer that wait for earlier answers."""
+        return self._waiting_answer.n_bytes if self._waiting_answer is not None else 0
 
     async def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send one whole answer."""
-        if not self._channel.owns_writing(self):
+        """Send a complete answer."""
+        if not self._channel.is_next_to_answer(self):
             await self._channel.wait_for_turn(self)
         length = (b"content-length", str(len(body)).encode())
         head = self._head(status, (*headers, length))
@@ -116,14 +116,14 @@
     async def stream(self, status: int, headers: Headers, body: BodyBuffer) -> None:
         """Send an answer while its body arrives, at the pace the client reads.
 
-        What is here already goes out in one write with the head, and with the
-        end where the body is whole: three writes of a small answer would cost
-        the client three wake-ups. An error of the body is raised to the caller.
+        The parts that have already arrived are sent in one write with the head, and
+        with the end if the body is complete: a small answer in three writes would
+        wake the client three times. An error of the body is raised.
         """
-        if not self._channel.owns_writing(self):
-            self._held = body
+        if not self._channel.is_next_to_answer(self):
+            self._waiting_answer = body
             await self._channel.wait_for_turn(self)
-            self._held = None
+            self._waiting_answer = None
         events = [self._head(status, headers)]
         is_head_only = self.request.method == "HEAD"
         while True:
@@ -139,16 +139,16 @@
             events = [h11.Data(data=part)] if part and not is_head_only else []
 
     def abort(self) -> None:
-        """Break the connection, as the answer cannot be completed."""
+        """Reset the connection, as the answer cannot be completed."""
         self._channel.abort()
 
     async def _send(self, *events: h11.Event) -> None:
-        """Write events in one piece."""
+        """Write events in a single write."""
         data = b"".join([self.state.send(event) or b"" for event in events])
         await self._channel.write(data)
 
     def _head(self, status: int, headers: Headers) -> h11.Response:
-        self.has_answered = True
+        self.has_started_answer = True
         if self._channel.closes_after(self):
             headers = (*headers, (b"connection", b"close"))
         return h11.Response(status_code=status, headers=list(headers))
--- a/packages/pepperstair-http/pepperstair_http/fetch.py
+++ b/packages/pepperstair-http/pepperstair_http/fetch.py
@@ -1,4 +1,4 @@
-"""Whole requests to one address over a few kept connections."""
+"""A client for one address with a small pool of persistent connections."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class Fetcher:
-    """Sends whole requests to one address and returns whole answers.
+    """Sends requests to one address and returns complete answers.
 
-    A failure is raised as OSError, ConnectionLostError or TimeoutError. Only
-    an OSError from connecting proves that nothing was sent.
+    A failure is raised as OSError, ConnectionLostError or TimeoutError. Only an OSError
+    on connecting proves that nothing was sent.
     """
 
     def __init__(self, host: str, port: int, timeout_ms: int) -> None:
@@ -39,29 +39,30 @@
         headers: Headers = (),
         timeout_ms: int = 0,
     ) -> Response:
-        """Send one request and return the whole answer.
+        """Send one request and return the complete answer.
 
-        `timeout_ms` replaces the usual timeout until the answer begins; from then on
-        each part of it has the usual one. A large answer takes seconds over a slow
-        link: held to one timeout it would be broken off and asked for again, for ever.
+        `timeout_ms` replaces the default timeout until the head of the answer arrives.
+        From then on, the default timeout applies to each part of the body: a large
+        answer takes seconds over a slow link, and under one timeout for the whole it
+        would be cancelled and requested again without end.
         """
         async with asyncio.timeout((timeout_ms or self._timeout_ms) / 1000) as scope:
             connection = self._take_idle() or await self._open()
             try:
-                head = await self._ask(connection, method, path, body, headers)
-                content = await self._read(connection, scope)
+                head = await self._send(connection, method, path, body, headers)
+                content = await self._read_body(connection, scope)
             except BaseException:
                 connection.close()
                 raise
-        self._keep(connection)
+        self._release(connection)
         return Response(head.status, head.headers, content)
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         while self._idle:
             self._idle.pop().close()
 
-    async def _ask(
+    async def _send(
         self,
         connection: ClientConnection,
         method: str,
@@ -69,26 +70,26 @@
         body: bytes,
         headers: Headers,
     ) -> ResponseHead:
-        sent = (
+        all_headers = (
             (b"host", f"{self._host}:{self._port}".encode()),
             (b"content-length", str(len(body)).encode()),
             *headers,
         )
-        connection.start(method, path, sent, body)
+        connection.start(method, path, all_headers, body)
         return await connection.read_head()
 
-    async def _read(
+    async def _read_body(
         self, connection: ClientConnection, scope: asyncio.Timeout
     ) -> bytes:
         loop = asyncio.get_running_loop()
 
-        def renew() -> None:
+        def restart_timeout() -> None:
             scope.reschedule(loop.time() + self._timeout_ms / 1000)
 
-        renew()
-        content = await connection.body.read_all(_RESPONSE_MAX_BYTES, renew)
+        restart_timeout()
+        content = await connection.body.read_all(_RESPONSE_MAX_BYTES, restart_timeout)
         if content is None:
-            raise ConnectionLostError("the answer is too large")
+            raise ConnectionLostError("the answer exceeds the size limit")
         return content
 
     async def _open(self) -> ClientConnection:
@@ -104,7 +105,7 @@
             connection.close()
         return None
 
-    def _keep(self, connection: ClientConnection) -> None:
+    def _release(self, connection: ClientConnection) -> None:
         if connection.is_reusable and len(self._idle) < _N_IDLE_MAX:
             self._idle.append(connection)
         else:
--- a/packages/pepperstair-http/pepperstair_http/header_names.py
+++ b/packages/pepperstair-http/pepperstair_http/header_names.py
@@ -1,4 +1,4 @@
-"""The names of the headers that say how a request is to be treated."""
+"""Names of the headers that control how a request is processed."""
 
 from __future__ import annotations
 
@@ -6,17 +6,20 @@
 
 
 class HeaderNames(Struct, frozen=True):
-    """The headers that callers and targets of one deployment speak.
-
-    All names are in lower case; an empty name stands for a header that is not
-    in use. `request_id` names the request and is echoed by targets where
-    `is_id_echoed` says so. `timeout_ms` says how long the caller waits, and on
-    the way to a target how much of that is left. `caller_service` is set by the
-    daemon on each request that is passed on. `expected_target` names the only
-    target that may run a request. A target says `not_run` in an answer where
-    it has refused the request, and `signature` stands in each answer that
-    really is its own. `has_retry_after_fractions` says that callers read parts
-    of a second in `retry-after`.
+    """The header names that callers and targets of one deployment use.
+
+    All names are in lower case; an empty name means that the header is not used.
+
+    - `timeout_ms` states how long the caller waits or, in a request to a target, the
+      time remaining of that.
+    - `request_id` identifies the request. Targets echo it if `is_id_echoed` is set.
+    - `caller_service` is set by the daemon on each request that it forwards.
+    - `expected_target` names the only target that may run the request.
+    - `not_run` is set by a target in an answer that refuses the request.
+    - `signature` is set by a target in each answer of its own.
+
+    `has_retry_after_fractions` states that callers parse fractions of a second in
+    `retry-after`.
     """
 
     timeout_ms: bytes = b"pepperstair-timeout-ms"
@@ -31,7 +34,7 @@
 
     @property
     def replaced(self) -> frozenset[bytes]:
-        """Return the headers of a caller that never reach a target as they are."""
+        """Return the headers that are never forwarded unchanged to a target."""
         names = (
             self.timeout_ms,
             self.idempotent,
--- a/packages/pepperstair-http/pepperstair_http/limits.py
+++ b/packages/pepperstair-http/pepperstair_http/limits.py
@@ -1,4 +1,4 @@
-"""What a server takes from its clients, and what it counts of them."""
+"""Limits that a server applies to its clients, and its counters."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class AheadLimits(Struct, frozen=True):
-    """How far the requests of one connection may run ahead of its answers.
+    """Limits on the requests that a client pipelines on one connection.
 
-    Up to `n_requests_max` are in progress at once. Behind them `request_max_bytes`
-    are kept unread, and no further request begins while answers of more than
-    `answer_max_bytes` wait for an earlier one.
+    Up to `n_requests_max` requests run concurrently. Up to `request_max_bytes` of
+    further requests are buffered behind them, and no further request begins while
+    more than `answer_max_bytes` of answers wait for an earlier answer.
     """
 
     n_requests_max: int = 16
@@ -26,10 +26,10 @@
 
 
 class ServerLimits(Struct, frozen=True):
-    """What one server takes from its clients.
+    """Limits of one server on its clients.
 
-    The head of a request may take `header_timeout_ms`, or as long as a client
-    may stay silent where that is 0.
+    The head of a request must arrive within `header_timeout_ms`, or within
+    `idle_timeout_ms` if that is 0.
     """
 
     n_connections_max: int = 1000
@@ -39,22 +39,22 @@
     ahead: AheadLimits = field(default_factory=AheadLimits)
 
     @property
-    def head_limit_s(self) -> float:
-        """Return how long the head of a request may take."""
+    def head_timeout_s(self) -> float:
+        """Return the time within which the head of a request must arrive."""
         return (self.header_timeout_ms or self.idle_timeout_ms) / 1000
 
     @property
     def sweep_interval_s(self) -> float:
-        """Return how often stalled connections are looked for."""
-        shortest_s = min(self.idle_timeout_ms / 1000, self.head_limit_s)
+        """Return the interval between checks for stalled connections."""
+        shortest_s = min(self.idle_timeout_ms / 1000, self.head_timeout_s)
         return shortest_s / _N_SWEEPS_PER_TIMEOUT
 
 
 class ServerCounters(Struct):
-    """What a server met, for metrics.
+    """Counters of a server's connections and requests, for metrics.
 
-    `n_ahead` counts requests that began before an earlier one of their connection
-    was answered, `n_dropped` those that were read but never begun.
+    `n_ahead` counts requests that began before an earlier request of their
+    connection was answered, `n_dropped` requests that were read but never began.
     """
 
     n_connections: int = 0
--- a/packages/pepperstair-http/pepperstair_http/malformed.py
+++ b/packages/pepperstair-http/pepperstair_http/malformed.py
@@ -1,4 +1,4 @@
-"""What is no proper request, and the answer to it."""
+"""Detect malformed requests and build the error answers to them."""
 
 from __future__ import annotations
 
@@ -14,14 +14,17 @@
 
 
 class Rejection(Struct, frozen=True):
-    """What is said of malformed bytes, after the answers to what came before."""
+    """The error answer to malformed bytes, sent after those to earlier requests."""
 
     status: int
     text: str
 
 
-def error_events(status: int, text: str) -> tuple[h11.Event, ...]:
-    """Return the answer of a server that closes the connection, as not run."""
+def error_answer_events(status: int, text: str) -> tuple[h11.Event, ...]:
+    """Return an error answer that marks the request as not run.
+
+    It announces that the connection closes.
+    """
     body = f"{text}\n".encode()
     headers = [
         TEXT,
@@ -33,14 +36,15 @@
     return head, h11.Data(data=body), h11.EndOfMessage()
 
 
-def has_two_lengths(event: h11.Request) -> bool:
-    """Return whether a head states both a length and chunks.
+def has_ambiguous_length(event: h11.Request) -> bool:
+    """Return whether a head has both content-length and transfer-encoding.
 
-    Two readers may take different ones for the end of the body, and what one
-    holds for the rest of it the other runs as a request (RFC 9112, section 6.1).
+    A proxy and a server may disagree on the end of such a body, so that the server
+    runs as a request what the proxy considers part of the body: request smuggling
+    (RFC 9112, section 6.1).
     """
     names = {name for name, _ in event.headers}
     return b"content-length" in names and b"transfer-encoding" in names
 
 
-__all__ = ["TEXT", "Rejection", "error_events", "has_two_lengths"]
+__all__ = ["TEXT", "Rejection", "error_answer_events", "has_ambiguous_length"]
--- a/packages/pepperstair-http/pepperstair_http/messages.py
+++ b/packages/pepperstair-http/pepperstair_http/messages.py
@@ -1,4 +1,4 @@
-"""Heads and whole messages of HTTP, as frozen data."""
+"""Immutable HTTP requests and responses."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1) and are
-# therefore never passed on.
+# Headers that apply to a single connection only (RFC 9110, section 7.6.1) and are
+# therefore never forwarded.
 HOP_BY_HOP: Final = frozenset(
     {
         b"connection",
@@ -45,7 +45,7 @@
 
 
 class Response(Struct, frozen=True):
-    """A whole response with its body in memory."""
+    """A complete response with its body in memory."""
 
     status: int
     headers: Headers
@@ -53,7 +53,7 @@
 
 
 def header_value(headers: Headers, name: bytes) -> bytes:
-    """Return the first value of a header, whose name is in lower case, or b""."""
+    """Return the first value of the header with a lower-case `name`, or b""."""
     for key, value in headers:
         if key == name:
             return value
@@ -61,7 +61,7 @@
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """Return the headers that are passed on to the next hop."""
+    """Return the headers that are forwarded to the next hop."""
     named = header_value(headers, b"connection").lower()
     dropped = {name.strip() for name in named.split(b",") if name.strip()}
     return tuple(
--- a/packages/pepperstair-http/pepperstair_http/receiving.py
+++ b/packages/pepperstair-http/pepperstair_http/receiving.py
@@ -1,4 +1,4 @@
-"""Receiving into one buffer that all connections of the process share."""
+"""Receive data through one buffer shared by all connections of the process."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class ReceivingProtocol(asyncio.BufferedProtocol):
-    """Calls `data_received` with the bytes of each read.
+    """A protocol that passes the bytes of each read to `data_received`.
 
-    A plain asyncio.Protocol makes the loop allocate 256 KB for each read and
-    shrink it to what came, which for small messages costs more than the read
-    itself. One buffer serves all connections, since the loop fills it and hands
-    it over without running anything else in between.
+    With a plain asyncio.Protocol, the loop allocates 256 KB for each read and shrinks
+    it to the size received, which for small messages costs more than the read itself.
+    One buffer is enough for all connections, as the loop runs nothing else between
+    filling the buffer and passing it to the protocol.
     """
 
     def get_buffer(self, sizehint: int) -> bytearray:
@@ -31,7 +31,7 @@
         self.data_received(_view[:nbytes].tobytes())
 
     def data_received(self, data: bytes) -> None:
-        """Take the bytes of one read."""
+        """Process the bytes of one read."""
         raise NotImplementedError
 
 
--- a/packages/pepperstair-http/pepperstair_http/server.py
+++ b/packages/pepperstair-http/pepperstair_http/server.py
@@ -17,16 +17,16 @@
 
 log = structlog.get_logger(__name__)
 
-# Connections that wait to be accepted, as after a restart of all daemons.
+# Maximum number of connections waiting to be accepted, as many are after a restart of
+# all daemons.
 BACKLOG: Final = 1024
 
 
 class HttpServer:
-    """Listens on one address and hands each request to the handler.
+    """Listens on one address and passes each request to the handler.
 
-    `is_repeatable` says which requests may run side by side with others that their
-    client has sent on the same connection; those with a safe method where it is
-    left out.
+    `is_repeatable` decides which requests may run concurrently with others on the same
+    connection; by default, those with a safe method.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
 
     @property
     def limits(self) -> ServerLimits:
-        """Return what the server takes from its clients."""
+        """Return the limits that apply to clients."""
         return self.state.limits
 
     @limits.setter
@@ -50,7 +50,7 @@
 
     @property
     def is_draining(self) -> bool:
-        """Return whether connections end with their next answer."""
+        """Return whether connections close after their answers in progress."""
         return self.state.is_draining
 
     @is_draining.setter
@@ -59,43 +59,43 @@
 
     @property
     def counters(self) -> ServerCounters:
-        """Return what the server has met."""
+        """Return the counters of connections and requests."""
         return self.state.counters
 
     @property
     def connections(self) -> set[OpenConnection]:
-        """Return the connections that are open."""
+        """Return the open connections."""
         return self.state.connections
 
     async def listen(
         self, host: str, port: int, opened: socket.socket | None = None
     ) -> int:
-        """Start listening and return the port, chosen by the system for 0.
+        """Start listening and return the port; port 0 lets the system choose one.
 
-        Where a socket at the address is `opened` already, it is taken over with the
-        connections that wait there.
+        If `opened` is given, a socket that already listens at the address, it is used
+        instead, with the connections in its queue.
         """
         loop = asyncio.get_running_loop()
-        where = {"sock": opened} if opened else {"host": host, "port": port}
+        endpoint = {"sock": opened} if opened else {"host": host, "port": port}
         self._server = await loop.create_server(
-            lambda: ServerConnection(self.state), backlog=BACKLOG, **where
+            lambda: ServerConnection(self.state), backlog=BACKLOG, **endpoint
         )
         self._schedule_sweep()
         return self._server.sockets[0].getsockname()[1]
 
     def ask_to_leave(self) -> None:
-        """Serve on, but ask the client of each answer to close its connection.
+        """Continue to serve, but send `connection: close` with answers.
 
-        Clients are told elsewhere that this daemon leaves and need a while to
-        hear it. One whose connection was refused or closed meanwhile would
-        see an error for a request that could still be served.
+        Clients are notified by other means that this daemon is stopping, which takes a
+        while. A client whose connection was refused or closed meanwhile would get an
+        error for a request that could still be served.
         """
         self.is_draining = True
 
     def drain(self) -> None:
-        """Take no further connections and close the open ones when they are idle.
+        """Accept no new connections and close open ones as soon as they are idle.
 
-        An answer that is still to come goes out whole, with `connection: close`.
+        Answers in progress are sent to their end, with `connection: close`.
         """
         self.is_draining = True
         self._stop_listening()
@@ -116,10 +116,10 @@
             self._server.close()
 
     def _schedule_sweep(self) -> None:
-        """Look for stalled connections a few times in each idle timeout.
+        """Schedule the next check for stalled connections.
 
-        One timer for all: a timer for each connection would be set and
-        cancelled twice for each request.
+        A single timer serves all connections: a timer for each connection would be set
+        and cancelled twice for each request.
         """
         loop = asyncio.get_running_loop()
         delay_s = self.limits.sweep_interval_s
--- a/packages/pepperstair-http/pepperstair_http/server_state.py
+++ b/packages/pepperstair-http/pepperstair_http/server_state.py
@@ -1,4 +1,4 @@
-"""What a server shares with its connections."""
+"""State that a server shares with its connections."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 
 log = structlog.get_logger(__name__)
 
-# Methods that change nothing (RFC 9110, section 9.2.1).
+# Methods without side effects (RFC 9110, section 9.2.1).
 _SAFE_METHODS: Final = frozenset({"GET", "HEAD", "OPTIONS", "TRACE"})
 
 
 def is_safe(request: Request) -> bool:
-    """Return whether the method of a request promises that it changes nothing."""
+    """Return whether the method of a request is safe: without side effects."""
     return request.method in _SAFE_METHODS
 
 
 class OpenConnection(Protocol):
-    """A client's connection as its server sees it."""
+    """The interface of a client's connection to its server."""
 
     @property
     def is_idle(self) -> bool:
         """Return whether no request is in progress."""
 
     def close(self) -> None:
-        """Close the connection after what was written has been sent."""
+        """Close the connection once all written data has been sent."""
 
     def close_if_stalled(self, now_s: float) -> bool:
-        """Close a connection whose client has done nothing for too long."""
+        """Close the connection if its client stalls; return whether it was closed."""
 
 
 class ServerState(Struct):
-    """The handler, the limits and what is open now.
+    """The handler, the limits and the open connections of a server.
 
-    `is_repeatable` says which requests may run side by side with others of their
+    `is_repeatable` decides which requests may run concurrently with others of their
     connection.
     """
 
--- a/packages/pepperstair-http/pepperstair_http/sockets.py
+++ b/packages/pepperstair-http/pepperstair_http/sockets.py
@@ -1,4 +1,4 @@
-"""Options of TCP connections that should not stay open in silence."""
+"""TCP options that detect unreachable peers."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 import socket
 from typing import Final
 
-# A peer that lost power or is cut off acknowledges nothing. The kernel would go
-# on sending for a quarter of an hour; these make it give up within seconds.
+# A peer that lost power or network access acknowledges nothing. By default, the kernel
+# would retransmit for a quarter of an hour; with these it gives up within seconds.
 _KEEPALIVE_IDLE_S: Final = 1
 _KEEPALIVE_INTERVAL_S: Final = 1
 _N_KEEPALIVE_PROBES: Final = 2
 
 
 def notice_silence(transport: asyncio.BaseTransport, unacknowledged_ms: int) -> None:
-    """Make a connection fail where its peer acknowledges nothing any more.
+    """Make a connection fail if its peer no longer acknowledges data.
 
-    `unacknowledged_ms` is how long bytes that were sent may stay without an
-    acknowledgement. Something between two ends can lose track of a connection:
-    without this, what is sent on it waits until the deadline of each request.
+    Sent data may stay unacknowledged for up to `unacknowledged_ms`. A middlebox
+    between the two ends may drop the state of a connection; without this option, each
+    request sent on it would wait until its deadline.
     """
-    opened = transport.get_extra_info("socket")
-    if opened is None or opened.family not in (socket.AF_INET, socket.AF_INET6):
+    sock = transport.get_extra_info("socket")
+    if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
         return
     tcp = socket.IPPROTO_TCP
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    opened.setsockopt(tcp, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
-    opened.setsockopt(tcp, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
-    opened.setsockopt(tcp, socket.TCP_KEEPCNT, _N_KEEPALIVE_PROBES)
-    opened.setsockopt(tcp, socket.TCP_USER_TIMEOUT, unacknowledged_ms)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, _N_KEEPALIVE_PROBES)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, unacknowledged_ms)
 
 
 __all__ = ["notice_silence"]
--- a/packages/pepperstair-http/pepperstair_http/writing.py
+++ b/packages/pepperstair-http/pepperstair_http/writing.py
@@ -1,4 +1,4 @@
-"""Waiting for a transport whose peer reads slowly, and breaking one."""
+"""Write flow control for transports, and resetting a connection."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 _LINGER_ZERO: Final = struct.pack("ii", 1, 0)
 
 
-def break_transport(transport: asyncio.Transport) -> None:
-    """Reset a connection, so that the peer can't take what it got for the whole.
+def reset_connection(transport: asyncio.Transport) -> None:
+    """Reset a connection, so that the peer can't mistake partial data for all of it.
 
-    A plain close looks like an orderly end: a caller that reads an answer
-    without length until the end would take half of it for all of it.
+    A plain close looks like a regular end: a caller that reads an answer without
+    content-length until the connection closes would accept a part of the answer as
+    all of it.
     """
-    opened = transport.get_extra_info("socket")
-    if opened is not None and not transport.is_closing():
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
+    sock = transport.get_extra_info("socket")
+    if sock is not None and not transport.is_closing():
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
     transport.abort()
 
 
 class WriteGate:
-    """Closed while the transport's buffer is full.
+    """Blocks writers while the transport's write buffer is full.
 
-    Without it a peer that stops reading makes the buffer of its connection
+    Without it, a peer that stops reading would make the write buffer of its connection
     grow with every answer until the process runs out of memory.
     """
 
@@ -37,27 +38,27 @@
         self._waiters: list[asyncio.Future[None]] = []
 
     def close(self) -> None:
-        """Make writers wait, as `pause_writing` asks."""
+        """Block writers; called by `pause_writing`."""
         self.is_open = False
 
     def open(self) -> None:
-        """Let writers go on, as `resume_writing` permits."""
+        """Release all waiting writers; called by `resume_writing`."""
         self.is_open = True
         self._release()
 
     def lose(self) -> None:
-        """Release every writer, as the connection is gone."""
+        """Make all current and later waits raise, as the connection is closed."""
         self._is_lost = True
         self._release()
 
     async def wait(self) -> None:
-        """Return once writing is permitted, or raise where the peer is gone."""
+        """Wait until writing is permitted; raise if the connection is closed."""
         while not self.is_open and not self._is_lost:
             waiter = asyncio.get_running_loop().create_future()
             self._waiters.append(waiter)
             await waiter
         if self._is_lost:
-            raise ConnectionResetError("the connection is gone")
+            raise ConnectionResetError("the connection is closed")
 
     def _release(self) -> None:
         for waiter in self._waiters:
@@ -66,4 +67,4 @@
         self._waiters.clear()
 
 
-__all__ = ["WriteGate", "break_transport"]
+__all__ = ["WriteGate", "reset_connection"]
