--- a/packages/pepperstair-operators/pepperstair_operators/__init__.py
+++ b/packages/pepperstair-operators/pepperstair_operators/__init__.py
@@ -1,10 +1,10 @@
-"""The operators' interface of the daemon and its client."""
+"""The daemon's HTTP interface for operators, and its client."""
 
 from __future__ import annotations
 
 from .client import DEFAULT_TIMEOUT_MS, OperatorClient, Reply
 from .server import (
-    Handle,
+    OperatorHandler,
     OperatorReply,
     OperatorRequest,
     OperatorServer,
@@ -15,7 +15,7 @@
 
 __all__ = [
     "DEFAULT_TIMEOUT_MS",
-    "Handle",
+    "OperatorHandler",
     "OperatorClient",
     "OperatorReply",
     "OperatorRequest",
--- a/packages/pepperstair-operators/pepperstair_operators/client.py
+++ b/packages/pepperstair-operators/pepperstair_operators/client.py
@@ -1,4 +1,4 @@
-"""The client of the operators' interface, for the command line."""
+"""Client of the operators' interface, used by the command line."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Reply(Struct, frozen=True):
-    """A daemon's answer."""
+    """The answer of a daemon, with its JSON content."""
 
     status: int
     content: Any
@@ -38,37 +38,37 @@
     async def send(
         self, method: str, path: str, body: bytes = b""
     ) -> Result[Reply, Failure]:
-        """Send one request; an unreachable daemon is a failure as a value."""
+        """Send one request; return a failure if the daemon does not answer."""
         headers = ()
         if self._token:
             headers = ((b"authorization", f"Bearer {self._token}".encode()),)
         try:
             response = await self._fetcher.fetch(method, path, body, headers)
         except (TimeoutError, ConnectionLostError) as error:
-            return Err(_lost(method, str(error) or "no answer in time"))
+            return Err(_no_reply(method, str(error) or "no answer in time"))
         except OSError as error:
             return Err(Failure(ErrorKind.PEER_UNREACHABLE, str(error)))
         return _read_reply(method, response)
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         self._fetcher.close()
 
 
-def _lost(method: str, detail: str) -> Failure:
-    """Return what a lost answer means: a read has no outcome to be unsure of."""
+def _no_reply(method: str, detail: str) -> Failure:
+    """Return the failure for a missing answer: only a change has an unknown outcome."""
     is_read = method == "GET"
     kind = ErrorKind.PEER_UNREACHABLE if is_read else ErrorKind.CHANGE_OUTCOME_UNKNOWN
     return Failure(kind, detail)
 
 
 def _read_reply(method: str, response: Response) -> Result[Reply, Failure]:
-    """Read an answer; an address of something else answers no JSON."""
+    """Parse an answer; a server other than a daemon may not answer in JSON."""
     try:
         return Ok(Reply(response.status, json.loads(response.body)))
     except ValueError:
-        detail = f"status {response.status} without JSON, no operators' interface"
-        return Err(_lost(method, detail))
+        detail = f"status {response.status} without JSON: not an operators' interface"
+        return Err(_no_reply(method, detail))
 
 
 __all__ = ["DEFAULT_TIMEOUT_MS", "OperatorClient", "Reply"]
--- a/packages/pepperstair-operators/pepperstair_operators/server.py
+++ b/packages/pepperstair-operators/pepperstair_operators/server.py
@@ -22,7 +22,7 @@
 
 
 class OperatorRequest(Struct, frozen=True):
-    """One request: its path without the matched prefix, its query and body."""
+    """One request; `name` is the part of its path after the matched prefix."""
 
     method: str
     name: str
@@ -31,7 +31,7 @@
 
 
 class OperatorReply(Struct, frozen=True):
-    """What is answered, as JSON."""
+    """An answer, whose content is sent as JSON."""
 
     status: int
     content: Any
@@ -39,28 +39,29 @@
 
 
 class _Location(Struct, frozen=True):
-    """The path, still encoded, and the query of a request."""
+    """The percent-encoded path and the decoded query of a request."""
 
     path: str
     query: dict[str, str]
 
 
-Handle = Callable[[OperatorRequest], Awaitable[OperatorReply]]
+OperatorHandler = Callable[[OperatorRequest], Awaitable[OperatorReply]]
 
 
 class OperatorServer:
-    """Finds the handle for a request by method and path prefix.
+    """Dispatches each request to a handler by its method and path.
 
-    A prefix that ends with a slash takes the rest of the path as `name`.
+    For a path registered with a trailing slash, `name` is the decoded last segment
+    of the request's path.
     """
 
     def __init__(self, settings: OperatorsSettings) -> None:
         self._settings = settings
-        self._handles: dict[tuple[str, str], Handle] = {}
+        self._handlers: dict[tuple[str, str], OperatorHandler] = {}
 
-    def add(self, method: str, path: str, handle: Handle) -> None:
-        """Serve a method and path, or path prefix, with a handle."""
-        self._handles[(method, path)] = handle
+    def add(self, method: str, path: str, handler: OperatorHandler) -> None:
+        """Register the handler for a method and a path or path prefix."""
+        self._handlers[(method, path)] = handler
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one HTTP request."""
@@ -75,41 +76,41 @@
     async def _reply(self, exchange: Exchange) -> OperatorReply:
         if not self._is_permitted(exchange):
             return failure_reply(Failure(ErrorKind.UNAUTHORIZED))
-        read = _read_location(exchange.request.path)
-        if read.is_err():
-            return failure_reply(read.unwrap_err())
-        location = read.unwrap()
+        parsed = _parse_location(exchange.request.path)
+        if parsed.is_err():
+            return failure_reply(parsed.unwrap_err())
+        location = parsed.unwrap()
         found = self._find(exchange.request.method, location.path)
         if found is None:
             return failure_reply(Failure(ErrorKind.NOT_FOUND, location.path))
         body = await exchange.body.read_all(self._settings.body_max_bytes)
         if body is None:
             return failure_reply(Failure(ErrorKind.BODY_TOO_LARGE))
-        handle, name = found
+        handler, name = found
         request = OperatorRequest(exchange.request.method, name, location.query, body)
-        return await handle(request)
+        return await handler(request)
 
-    def _find(self, method: str, path: str) -> tuple[Handle, str] | None:
-        handle = self._handles.get((method, path))
-        if handle is not None:
-            return handle, ""
+    def _find(self, method: str, path: str) -> tuple[OperatorHandler, str] | None:
+        handler = self._handlers.get((method, path))
+        if handler is not None:
+            return handler, ""
         prefix, _, name = path.rpartition("/")
-        handle = self._handles.get((method, f"{prefix}/"))
-        return None if handle is None or not name else (handle, unquote(name))
+        handler = self._handlers.get((method, f"{prefix}/"))
+        return None if handler is None or not name else (handler, unquote(name))
 
     def _is_permitted(self, exchange: Exchange) -> bool:
         if not self._settings.token:
             return True
         given = header_value(exchange.request.headers, b"authorization")
-        wanted = f"Bearer {self._settings.token}".encode()
-        return hmac.compare_digest(given, wanted)
+        expected = f"Bearer {self._settings.token}".encode()
+        return hmac.compare_digest(given, expected)
 
 
-def _read_location(target: str) -> Result[_Location, Failure]:
-    """Split a request's target, or refuse one that does not decode.
+def _parse_location(target: str) -> Result[_Location, Failure]:
+    """Split a request target into path and query, or fail if it does not decode.
 
-    A name with a broken escape would otherwise be taken for another name, and
-    the operator would change a customer that nobody asked to change.
+    A name with an invalid percent-escape would otherwise be decoded to another name,
+    and the operator would change the wrong customer.
     """
     try:
         parts = urlsplit(target)
@@ -118,15 +119,15 @@
             parts.query, keep_blank_values=True, strict_parsing=True, errors="strict"
         )
     except ValueError as error:
-        return Err(Failure(ErrorKind.BAD_REQUEST, f"path or query ({error})"))
+        return Err(Failure(ErrorKind.BAD_REQUEST, f"invalid path or query: {error}"))
     return Ok(_Location(parts.path, dict(pairs)))
 
 
 def query_version(request: OperatorRequest, name: str) -> Result[int | None, Failure]:
-    """Read a version from the query; None where it is not given.
+    """Parse the version in the query parameter `name`; None if it is absent.
 
-    A version that can't be read must not count as none: a change would then be
-    made whatever the newest version is, and undo another operator's.
+    An invalid version must not be treated as absent: a change would then be made
+    whatever the newest version is, and undo the change of another operator.
     """
     text = request.query.get(name)
     if text is None:
@@ -143,13 +144,13 @@
 
 
 def failure_reply(failure: Failure, **more: Any) -> OperatorReply:
-    """Return the reply to a failure, by the one table of answers."""
+    """Return the reply that the `ANSWERS` table defines for a failure."""
     content = {"error": failure.kind.value, "text": failure.text, **more}
     return OperatorReply(failure.answer.status, content, failure.retry_after_ms)
 
 
 __all__ = [
-    "Handle",
+    "OperatorHandler",
     "OperatorReply",
     "OperatorRequest",
     "OperatorServer",
