--- a/tests/test_fetch.py
+++ b/tests/test_fetch.py
@@ -1,4 +1,4 @@
-"""Whole requests to one address, and answers that come slowly."""
+"""Fetching answers that arrive slowly."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 N_PARTS = 8
 
 
-def fetch_slowly(gap_s: float, timeout_ms: int) -> bytes:
-    """Fetch a body whose parts come with gaps, and return it."""
+def fetch_in_parts(gap_s: float, timeout_ms: int) -> bytes:
+    """Fetch a body whose parts are sent at intervals of `gap_s`, and return it."""
 
     async def scenario() -> bytes:
         async def answer(exchange: Exchange) -> None:
             body = BodyBuffer()
-            sending = asyncio.create_task(send(body))
+            send_task = asyncio.create_task(send(body))
             await exchange.stream(200, ((b"transfer-encoding", b"chunked"),), body)
-            await sending
+            await send_task
 
         async def send(body) -> None:
             for _ in range(N_PARTS):
@@ -40,15 +40,16 @@
     return asyncio.run(scenario())
 
 
-def test_answer_that_keeps_coming_is_waited_for():
-    """A large answer comes over a slow link: each part in time, all of them not.
+def test_large_answer_is_received_if_each_part_arrives_in_time():
+    """Guards against a timeout for the whole answer in place of one for each part.
 
-    Given up as a whole it would be asked for again and again, and never be there.
+    A large answer over a slow link takes longer than the timeout. Cancelled as a whole,
+    it would be requested again and again and never be received.
     """
-    assert fetch_slowly(gap_s=0.2, timeout_ms=1000) == PART * N_PARTS
+    assert fetch_in_parts(gap_s=0.2, timeout_ms=1000) == PART * N_PARTS
 
 
-def test_answer_that_stands_still_is_given_up():
-    """The other end goes silent in the middle of its answer."""
+def test_stalled_answer_times_out():
+    """The server stops sending in the middle of its answer."""
     with pytest.raises(TimeoutError):
-        fetch_slowly(gap_s=5.0, timeout_ms=300)
+        fetch_in_parts(gap_s=5.0, timeout_ms=300)
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server against clients that misbehave, over loopback."""
+"""The HTTP server with misbehaving clients, over loopback."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 def serve(client: Client, handler=echo, limits: ServerLimits = SHORT, servers=None):
-    """Run a client against a server and return what the client returns.
+    """Run a client against a server and return the client's result.
 
-    The server is added to the list `servers`, for the client to change it.
+    The server is appended to the list `servers`, so that the client can access it.
     """
 
     async def run():
@@ -42,8 +42,8 @@
     return asyncio.run(run())
 
 
-def sending(data: bytes) -> Client:
-    """Return a client that sends bytes and reads until the server closes."""
+def sending_client(data: bytes) -> Client:
+    """Return a client that sends `data` and reads until the server closes."""
 
     async def client(reader, writer) -> bytes:
         writer.write(data)
@@ -65,27 +65,27 @@
     ],
 )
 def test_malformed_request_is_refused_and_the_connection_closed(data, status):
-    """A broken or hostile client sends what is no HTTP request.
+    """A broken or malicious client sends bytes that are not a valid HTTP request.
 
-    It gets one clear answer that says that nothing ran, and no second chance on
-    the same connection, where the rest of its bytes could be taken for a request.
+    It gets one answer, which states that nothing ran. The connection is closed, as the
+    rest of the bytes could be parsed as a request.
     """
-    answer = serve(sending(data))
+    answer = serve(sending_client(data))
     assert answer.split(b" ")[1] == status
     assert b"pepperstair-run: no" in answer
 
 
-def test_requests_sent_ahead_are_answered_in_order():
+def test_pipelined_requests_are_answered_in_order():
     first = b"POST /1 HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\nab"
-    answer = serve(sending(first + b"GET /2 HTTP/1.1\r\n" + CLOSE + b"\r\n"))
+    answer = serve(sending_client(first + b"GET /2 HTTP/1.1\r\n" + CLOSE + b"\r\n"))
     assert answer.index(b"/1:ab") < answer.index(b"/2:")
 
 
-def test_body_nobody_read_is_never_taken_for_a_request():
-    """A handler refuses a request early while its body is still on its way.
+def test_unread_body_is_never_parsed_as_a_request():
+    """A handler refuses a request early while its body is still arriving.
 
-    If the connection were kept, the body's bytes would be parsed as the next
-    request and its answer given to the wrong one.
+    If the connection stayed open, the bytes of the body would be parsed as the next
+    request, and the client would match the answer with the wrong request.
     """
 
     async def refuse(exchange: Exchange) -> None:
@@ -93,14 +93,14 @@
 
     inner = b"GET /smuggled HTTP/1.1\r\nhost: x\r\n\r\n"
     head = b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 500\r\n\r\n"
-    assert serve(sending(head + inner), refuse).count(b"HTTP/1.1") == 1
+    assert serve(sending_client(head + inner), refuse).count(b"HTTP/1.1") == 1
 
 
 def test_refusal_reaches_a_client_that_is_still_sending():
-    """A handler refuses a large upload while the client goes on sending it.
+    """A handler refuses a large upload while the client is still sending it.
 
-    Closing at once would reset the connection, and the client would report a
-    network error in place of the reason.
+    An immediate close would reset the connection, and the client would report a network
+    error instead of the reason for the refusal.
     """
 
     async def refuse(exchange: Exchange) -> None:
@@ -121,18 +121,18 @@
         headers = (*TEXT, (b"content-length", b"4"))
         await exchange.stream(200, headers, BodyBuffer.of(b"body"))
 
-    answer = serve(sending(b"HEAD / HTTP/1.1\r\n" + CLOSE + b"\r\n"), stream)
+    answer = serve(sending_client(b"HEAD / HTTP/1.1\r\n" + CLOSE + b"\r\n"), stream)
     assert answer.endswith(b"\r\n\r\n")
 
 
-def test_cut_answer_breaks_the_connection():
-    """A target dies in the middle of a chunked answer.
+def test_truncated_answer_resets_the_connection():
+    """A target exits in the middle of a chunked answer.
 
-    The caller has to see a broken connection; a clean end would make it take
-    half a timetable for the whole one.
+    The caller must see a connection reset: with a regular end, it would accept half of
+    the answer as a complete one.
     """
 
-    async def cut(exchange: Exchange) -> None:
+    async def truncate(exchange: Exchange) -> None:
         body = BodyBuffer()
         body.feed(b"half")
         body.fail(ConnectionResetError("cut"))
@@ -146,10 +146,10 @@
                 pass
         return b""
 
-    serve(client, cut)
+    serve(client, truncate)
 
 
-def test_body_is_asked_for_only_when_it_is_read():
+def test_continue_is_sent_only_when_the_body_is_read():
     async def client(reader, writer) -> bytes:
         head = b"POST / HTTP/1.1\r\n" + CLOSE + b"content-length: 2\r\n"
         writer.write(head + b"expect: 100-continue\r\n\r\n")
@@ -164,11 +164,11 @@
     "data",
     [b"", b"GET / HT", b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nab"],
 )
-def test_client_that_goes_silent_is_closed(data):
+def test_silent_client_is_disconnected(data):
     """A client vanishes without closing, or sends its request byte by byte.
 
-    Without a limit such connections pile up until the cap is reached and every
-    other client is refused.
+    Without a timeout, such connections would accumulate up to the connection limit, and
+    all other clients would be refused.
     """
 
     async def client(reader, writer) -> bytes:
@@ -182,12 +182,12 @@
 
 
 def test_client_that_stops_reading_is_closed():
-    """A caller asks for a map pack and never reads it.
+    """A caller requests a large answer and never reads it.
 
-    The answer would hold its memory, and the target its slot, for ever.
+    Without a timeout, the answer would occupy memory and a slot of the target for ever.
     """
 
-    async def pack(exchange: Exchange) -> None:
+    async def send_large(exchange: Exchange) -> None:
         body = BodyBuffer.of(bytes(50_000_000))
         await exchange.stream(200, ((b"content-length", b"50000000"),), body)
 
@@ -202,14 +202,14 @@
         return b""
 
     servers = []
-    serve(client, pack, servers=servers)
+    serve(client, send_large, servers=servers)
 
 
-def test_connections_over_the_cap_are_refused_as_not_run():
-    """One client opens connections without end.
+def test_connections_over_the_limit_are_refused_as_not_run():
+    """One client keeps opening connections.
 
-    The others would be refused by the system without an answer once the process
-    has no file descriptor left.
+    Without a limit, the process would run out of file descriptors, and the kernel would
+    refuse all other clients without an answer.
     """
 
     async def client(reader, writer) -> bytes:
@@ -227,8 +227,8 @@
 def test_draining_server_finishes_the_answer_in_progress():
     """A daemon is stopped while a caller waits for its answer.
 
-    The caller gets the whole answer and is told to open its next connection
-    elsewhere.
+    The caller gets the complete answer with `connection: close`, so that it opens its
+    next connection to another daemon.
     """
     servers = []
 
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -1,4 +1,4 @@
-"""Requests that a client sends before earlier ones are answered."""
+"""HTTP pipelining: requests sent before earlier ones are answered."""
 
 from __future__ import annotations
 
@@ -20,33 +20,33 @@
 from pepperstair_targets import TargetOptions
 
 from .call_mesh import Mesh, answer_ok, http, seen
-from .test_http_server import sending
-from .test_http_server import serve as serve_within
+from .test_http_server import sending_client
+from .test_http_server import serve as serve_with_limits
 
 TEXT = ((b"content-type", b"text/plain"),)
 
 
-class Recorder:
-    """A handler whose requests last as long as their path says, in ms.
+class RecordingHandler:
+    """A handler that records its requests and takes as long as their path states.
 
-    Paths read `/<name>/<ms>`; whatever is not a GET must not be repeated.
+    Paths have the form `/<name>/<duration in ms>`. Only GET requests are repeatable.
     """
 
     def __init__(self) -> None:
         self.running: list[str] = []
         self.started: list[str] = []
         self.cancelled: list[str] = []
-        self.seen_beside: dict[str, list[str]] = {}
+        self.running_at_start: dict[str, list[str]] = {}
 
     async def handle(self, exchange: Exchange) -> None:
-        """Wait and answer with the name and the body."""
-        _, name, lasts_ms = exchange.request.path.split("/")
+        """Wait, then answer with the name and the length of the body."""
+        _, name, duration_ms = exchange.request.path.split("/")
         self.started.append(name)
-        self.seen_beside[name] = list(self.running)
+        self.running_at_start[name] = list(self.running)
         self.running.append(name)
         try:
             body = await exchange.body.read_all(10_000_000) or b""
-            await asyncio.sleep(int(lasts_ms) / 1000)
+            await asyncio.sleep(int(duration_ms) / 1000)
             answer = BodyBuffer.of(f"<{name}:{len(body)}>".encode())
             headers = ((b"transfer-encoding", b"chunked"),)
             self.running.remove(name)
@@ -57,54 +57,55 @@
 
 
 def serve(client, handler, limits: ServerLimits | None = None, servers=None):
-    """Run a client against a server that takes what a daemon takes."""
-    return serve_within(client, handler, limits or ServerLimits(), servers)
+    """Run a client against a server with the limits of a daemon."""
+    return serve_with_limits(client, handler, limits or ServerLimits(), servers)
 
 
-def request(name: str, lasts_ms: int = 0, body: bytes = b"", *, last=False) -> bytes:
-    """Return the bytes of a request; one with a body is a POST."""
+def request(name: str, duration_ms: int = 0, body: bytes = b"", *, last=False) -> bytes:
+    """Return the bytes of a request, which is a POST if it has a body."""
     method = "POST" if body else "GET"
     close = "connection: close\r\n" if last else ""
-    head = f"{method} /{name}/{lasts_ms} HTTP/1.1\r\nhost: x\r\n{close}"
+    head = f"{method} /{name}/{duration_ms} HTTP/1.1\r\nhost: x\r\n{close}"
     return f"{head}content-length: {len(body)}\r\n\r\n".encode() + body
 
 
-def names_in(answer: bytes) -> list[str]:
-    """Return the names of the answers in the order that they came in."""
+def answered_names(answer: bytes) -> list[str]:
+    """Return the names of the answered requests in the order of their answers."""
     return [part.split(b":")[0].decode() for part in answer.split(b"<")[1:]]
 
 
-def test_repeatable_requests_run_side_by_side_and_are_answered_in_order():
-    """A paralegal's client sends five look-ups in one go.
+def test_repeatable_requests_run_concurrently_and_are_answered_in_order():
+    """A client pipelines five look-ups.
 
-    Carried one after the other, the fifth waits for the four before it.
+    Run one after the other, the fifth would wait for the four before it.
     """
-    recorder = Recorder()
+    recorder = RecordingHandler()
     sent = b"".join(request(f"r{i}", 200 - 40 * i) for i in range(4))
-    answer = serve(sending(sent + request("r4", last=True)), recorder.handle)
-    assert names_in(answer) == ["r0", "r1", "r2", "r3", "r4"]
-    assert recorder.seen_beside["r4"] == ["r0", "r1", "r2", "r3"]
+    answer = serve(sending_client(sent + request("r4", last=True)), recorder.handle)
+    assert answered_names(answer) == ["r0", "r1", "r2", "r3", "r4"]
+    assert recorder.running_at_start["r4"] == ["r0", "r1", "r2", "r3"]
 
 
-def test_request_that_must_not_repeat_runs_alone_and_in_its_place():
-    """Look-ups are sent with a registration between them.
+def test_non_repeatable_request_runs_alone_and_in_order():
+    """Look-ups are pipelined with a registration between them.
 
-    Begun early, the registration could be lost with a connection that closes before
-    its answer, and be sent again: a client would get two case numbers. A look-up
-    behind it must see what it changed.
+    If the registration began early and the connection closed before its answer, it
+    would be sent again: a client would get two case numbers. A later look-up must see
+    what it changed.
     """
-    recorder = Recorder()
+    recorder = RecordingHandler()
     sent = request("a", 60) + request("b", 20) + request("book", 30, b"x" * 10)
     answer = serve(
-        sending(sent + request("c", 0) + request("d", last=True)), recorder.handle
+        sending_client(sent + request("c", 0) + request("d", last=True)),
+        recorder.handle,
     )
-    assert names_in(answer) == ["a", "b", "book", "c", "d"]
-    assert recorder.seen_beside["book"] == []
-    assert "book" not in recorder.seen_beside["c"] + recorder.seen_beside["d"]
-    assert recorder.seen_beside["b"] == ["a"]
+    assert answered_names(answer) == ["a", "b", "book", "c", "d"]
+    assert recorder.running_at_start["book"] == []
+    assert "book" not in recorder.running_at_start["c"] + recorder.running_at_start["d"]
+    assert recorder.running_at_start["b"] == ["a"]
 
 
-def test_large_answer_waits_whole_behind_a_slow_one():
+def test_large_answer_behind_a_slow_one_is_complete():
     async def handle(exchange: Exchange) -> None:
         if exchange.request.path == "/slow":
             await asyncio.sleep(0.1)
@@ -115,19 +116,20 @@
 
     sent = b"GET /slow HTTP/1.1\r\nhost: x\r\n\r\n"
     sent += b"GET /big HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
-    answer = serve(sending(sent), handle)
+    answer = serve(sending_client(sent), handle)
     first, _, rest = answer.partition(b"slow")
     assert first.startswith(b"HTTP/1.1 200") and b"content-length: 4" in first
     assert rest.partition(b"\r\n\r\n")[2] == bytes(3_000_000)
 
 
-def test_stop_answers_what_has_begun_and_runs_nothing_else():
+def test_draining_server_answers_started_requests_and_starts_no_others():
     """A daemon is stopped while look-ups and a registration wait on a connection.
 
-    The client takes all that stands behind the closing answer for unread and sends
-    it again, so that nothing behind it may run, and nothing before it be lost.
+    The client assumes that requests after the answer with `connection: close` were not
+    processed and sends them again. Therefore none of them may run, and no earlier
+    answer may be lost.
     """
-    recorder, servers = Recorder(), []
+    recorder, servers = RecordingHandler(), []
 
     async def client(reader, writer) -> bytes:
         writer.write(request("a", 100) + request("b", 150))
@@ -139,24 +141,24 @@
         return await reader.read()
 
     answer = serve(client, recorder.handle, servers=servers)
-    assert names_in(answer) == ["a", "b"] == recorder.started
+    assert answered_names(answer) == ["a", "b"] == recorder.started
     assert answer.count(b"connection: close") == 1
     assert answer.index(b"connection: close") > answer.index(b"<a")
 
 
-def test_requests_sent_ahead_of_a_closing_answer_never_run():
-    recorder = Recorder()
+def test_requests_after_a_connection_close_never_run():
+    recorder = RecordingHandler()
     sent = request("a", 30) + request("b", last=True) + request("book", 0, b"x")
-    answer = serve(sending(sent), recorder.handle)
-    assert names_in(answer) == ["a", "b"] == recorder.started
+    answer = serve(sending_client(sent), recorder.handle)
+    assert answered_names(answer) == ["a", "b"] == recorder.started
 
 
-def test_client_that_leaves_cancels_all_its_requests():
-    """A widow leaves before her file is found, and her client closes.
+def test_disconnect_cancels_all_requests_of_the_client():
+    """A client disconnects before its requests are answered.
 
-    Each of its requests would otherwise go on and take slots of targets for nobody.
+    If they continued, each would occupy a slot of a target although its client is gone.
     """
-    recorder = Recorder()
+    recorder = RecordingHandler()
 
     async def client(reader, writer) -> None:
         writer.write(b"".join(request(f"r{i}", 5_000) for i in range(3)))
@@ -167,62 +169,63 @@
     serve(client, recorder.handle)
 
 
-def test_malformed_bytes_behind_good_requests_cost_only_themselves():
-    """A client's fourth request is broken.
+def test_requests_before_malformed_bytes_are_answered():
+    """A client's fourth request is malformed.
 
-    The three before it are sound, and closing at once would lose their answers.
+    The three before it are valid, and an immediate close would lose their answers.
     """
-    recorder = Recorder()
+    recorder = RecordingHandler()
     good = request("a", 50) + request("b", 0) + request("c", 20)
-    answer = serve(sending(good + b"no request\r\n\r\n"), recorder.handle)
-    assert names_in(answer) == ["a", "b", "c"]
+    answer = serve(sending_client(good + b"no request\r\n\r\n"), recorder.handle)
+    assert answered_names(answer) == ["a", "b", "c"]
     tail = answer[answer.index(b"<c") :]
     assert b"HTTP/1.1 400" in tail and b"pepperstair-run: no" in tail
 
 
-def test_two_lengths_behind_a_good_request_are_refused_after_its_answer():
-    """Two lengths for one body are how a request is smuggled past a proxy."""
-    recorder = Recorder()
+def test_ambiguous_length_is_refused_after_the_answer_to_an_earlier_request():
+    """Two lengths for one body allow a request to be smuggled past a proxy."""
+    recorder = RecordingHandler()
     bad = b"POST /x/0 HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\n"
     bad += b"transfer-encoding: chunked\r\n\r\n0\r\n\r\n" + request("inner")
-    answer = serve(sending(request("a", 30) + bad), recorder.handle)
-    assert names_in(answer) == ["a"] == recorder.started
+    answer = serve(sending_client(request("a", 30) + bad), recorder.handle)
+    assert answered_names(answer) == ["a"] == recorder.started
     assert answer.count(b"HTTP/1.1 400") == 1
 
 
 @pytest.mark.parametrize("n_max", [1, 3])
-def test_requests_in_progress_are_bounded_and_go_on_after(n_max):
-    """A client sends requests without end and hardly waits for answers.
+def test_concurrent_requests_are_limited_and_all_are_answered(n_max):
+    """A client keeps sending requests and hardly waits for answers.
 
-    They would fill the memory of the daemon and the slots of all targets.
+    Without a limit, they would exhaust the memory of the daemon and the slots of all
+    targets.
     """
-    recorder = Recorder()
+    recorder = RecordingHandler()
     limits = ServerLimits(ahead=AheadLimits(n_requests_max=n_max))
     sent = b"".join(request(f"r{i}", 10) for i in range(9)) + request("l", last=True)
-    answer = serve(sending(sent), recorder.handle, limits)
-    assert names_in(answer) == [f"r{i}" for i in range(9)] + ["l"]
-    assert max(len(beside) for beside in recorder.seen_beside.values()) < n_max
+    answer = serve(sending_client(sent), recorder.handle, limits)
+    assert answered_names(answer) == [f"r{i}" for i in range(9)] + ["l"]
+    assert max(len(names) for names in recorder.running_at_start.values()) < n_max
 
 
-def test_reading_stops_at_the_bytes_ahead_and_goes_on_after():
-    recorder = Recorder()
+def test_reading_pauses_at_the_byte_limit_and_resumes():
+    recorder = RecordingHandler()
     limits = ServerLimits(ahead=AheadLimits(2, 2_000, 1_000_000))
-    count = 4_000
+    n_requests = 4_000
 
     async def client(reader, writer) -> int:
         writer.transport.set_write_buffer_limits(high=100_000_000)
-        writer.write(b"".join(request(f"r{i}", 1) for i in range(count)))
+        writer.write(b"".join(request(f"r{i}", 1) for i in range(n_requests)))
         writer.write(request("l", last=True))
         answer = await reader.read()
-        return len(names_in(answer))
+        return len(answered_names(answer))
 
-    assert serve(client, recorder.handle, limits) == count + 1
+    assert serve(client, recorder.handle, limits) == n_requests + 1
 
 
-def test_answers_that_wait_for_their_turn_are_bounded():
-    """Large answers come in while an early look-up hangs.
+def test_waiting_answers_are_limited():
+    """Large answers arrive while an earlier look-up hangs.
 
-    Without a bound each connection could hold sixteen of them.
+    Without a limit, each connection could hold sixteen of them.
     """
     started = []
 
@@ -250,11 +253,11 @@
     assert answer.count(b"HTTP/1.1 200") == 8
 
 
-def test_answers_held_for_a_reader_that_stops_end_with_its_connection():
-    """A client sends many requests ahead and never reads."""
+def test_client_that_pipelines_and_never_reads_is_disconnected():
+    """A client pipelines many requests and never reads the answers."""
     limits = ServerLimits(idle_timeout_ms=200)
 
-    async def pack(exchange: Exchange) -> None:
+    async def send_large(exchange: Exchange) -> None:
         body = BodyBuffer.of(bytes(20_000_000))
         await exchange.stream(200, ((b"content-length", b"20000000"),), body)
 
@@ -266,7 +269,7 @@
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await reader.readexactly(100_000_000)
 
-    serve(client, pack, limits)
+    serve(client, send_large, limits)
 
 
 REQUESTS = st.lists(
@@ -281,15 +284,15 @@
 
 @settings(max_examples=40, deadline=None)
 @given(REQUESTS, st.lists(st.integers(1, 400), max_size=8))
-def test_answers_are_those_of_requests_sent_one_at_a_time(drawn, cuts):
-    """Whatever is sent ahead, however it is cut into packets.
+def test_pipelined_answers_equal_those_of_single_requests(drawn, packet_sizes):
+    """Pipelines any sequence of requests, split into packets anywhere.
 
     The answers are the same bytes as those to the same requests sent one by one.
     """
     last = len(drawn) - 1
     sent = [
-        request(f"r{i}", lasts_ms, b"x" * n_bytes, last=i == last)
-        for i, (lasts_ms, n_bytes) in enumerate(drawn)
+        request(f"r{i}", duration_ms, b"x" * n_bytes, last=i == last)
+        for i, (duration_ms, n_bytes) in enumerate(drawn)
     ]
 
     async def one_at_a_time(reader, writer) -> bytes:
@@ -299,32 +302,34 @@
             parts.append(await reader.readuntil(b"\r\n0\r\n\r\n"))
         return b"".join(parts)
 
-    async def ahead(reader, writer) -> bytes:
+    async def pipelined(reader, writer) -> bytes:
         data = b"".join(sent)
-        for n_bytes in cuts:
+        for n_bytes in packet_sizes:
             writer.write(data[:n_bytes])
             data = data[n_bytes:]
             await asyncio.sleep(0)
         writer.write(data)
         return await reader.read()
 
-    recorder = Recorder()
-    assert serve(ahead, recorder.handle) == serve(one_at_a_time, Recorder().handle)
+    recorder = RecordingHandler()
+    assert serve(pipelined, recorder.handle) == serve(
+        one_at_a_time, RecordingHandler().handle
+    )
     assert recorder.started == [f"r{i}" for i in range(len(drawn))]
     for index, (_, n_bytes) in enumerate(drawn):
         if n_bytes:
-            assert recorder.seen_beside[f"r{index}"] == []
+            assert recorder.running_at_start[f"r{index}"] == []
 
 
-def ahead_of(n_requests: int, path: str = "/x") -> bytes:
-    """Return some requests for the route of a mesh."""
+def mesh_requests(n_requests: int, path: str = "/x") -> bytes:
+    """Return the bytes of `n_requests` requests for the route of a mesh."""
     return f"GET {path} HTTP/1.1\r\nhost: x\r\n\r\n".encode() * n_requests
 
 
-def test_leaving_client_ends_the_work_of_all_its_requests_at_the_targets():
-    """A client sends three look-ups and closes.
+def test_disconnect_cancels_all_requests_of_the_client_at_the_targets():
+    """A client pipelines three look-ups and disconnects.
 
-    Targets would be at work on them for nobody.
+    Targets would otherwise work on them although the client is gone.
     """
 
     async def hang(target, writer, head) -> None:
@@ -334,7 +339,7 @@
         async with Mesh(is_idempotent=True) as mesh:
             targets = [await mesh.add("t1", hang), await mesh.add("t2", hang)]
             reader, writer = await asyncio.open_connection(*mesh.address)
-            writer.write(ahead_of(3))
+            writer.write(mesh_requests(3))
             await seen(lambda: sum(len(t.heads) for t in targets) == 3)
             writer.close()
             await seen(lambda: sum(t.n_closed for t in targets) == 3)
@@ -342,11 +347,11 @@
     asyncio.run(run())
 
 
-def test_answer_that_waits_for_its_turn_leaves_its_slot():
-    """A quick look-up is answered behind a slow one of the same client.
+def test_waiting_answer_frees_its_slot():
+    """A fast look-up is pipelined behind a slow one of the same client.
 
-    Its answer has to wait, but its target must not: with the slot held, other
-    clients would be refused by a target that does nothing.
+    Its answer has to wait, but must not hold the slot of its target: other clients
+    would be refused by an idle target.
     """
 
     async def slow_first(target, writer, head) -> None:
@@ -358,7 +363,7 @@
         async with Mesh(is_idempotent=True) as mesh:
             target = await mesh.add("t1", slow_first, n_slots=2)
             _, writer = await asyncio.open_connection(*mesh.address)
-            writer.write(ahead_of(1, "/slow") + ahead_of(1))
+            writer.write(mesh_requests(1, "/slow") + mesh_requests(1))
             await seen(lambda: len(target.heads) == 2)
             await asyncio.sleep(0.05)
             start_s = time.monotonic()
@@ -370,10 +375,11 @@
     assert asyncio.run(run()) < 0.4
 
 
-def test_time_that_a_request_stood_behind_another_counts_as_waited():
-    """A look-up is sent behind a booking that takes most of the look-up's time.
+def test_time_queued_behind_another_request_counts_towards_the_timeout():
+    """A look-up is pipelined behind a booking that takes a third of its timeout.
 
-    Given its whole time once more, an instance would work on it for nobody.
+    If the timeout started anew after the wait, a target would work on the look-up after
+    its caller has given up.
     """
 
     async def slow_booking(target, writer, head) -> None:
@@ -389,13 +395,13 @@
             writer.write(b"GET /x HTTP/1.1\r\nhost: x\r\nx-timeout: 900\r\n\r\n")
             await seen(lambda: len(target.heads) == 2)
             writer.close()
-            told = target.heads[1].lower().partition(b"x-timeout: ")[2]
-            return int(told.split(b"\r\n")[0])
+            timeout_text = target.heads[1].lower().partition(b"x-timeout: ")[2]
+            return int(timeout_text.split(b"\r\n")[0])
 
     assert asyncio.run(run()) < 700
 
 
-def test_non_idempotent_requests_sent_ahead_each_run_once_in_order():
+def test_pipelined_non_idempotent_requests_each_run_once_in_order():
     async def run() -> None:
         async with Mesh(is_idempotent=False) as mesh:
             target = await mesh.add("t1", lambda t, w, h: answer_in_turn(t, w, h))
