--- a/packages/pepperstair-http/pepperstair_http/body.py
+++ b/packages/pepperstair-http/pepperstair_http/body.py
@@ -34,7 +34,7 @@
 
     __slots__ = (
         "_error",
-        "_is_whole",
+        "_is_complete",
         "_on_consumed",
         "_on_wait",
         "_parts",
@@ -51,7 +51,7 @@
         self._parts: deque[bytes] = deque()
         self._on_consumed = on_consumed
         self._on_wait = on_wait
-        self._is_whole = False
+        self._is_complete = False
         self._error: Exception | None = None
         self._waiter: asyncio.Future[None] | None = None
         self.n_bytes = 0
@@ -69,12 +69,12 @@
     @property
     def is_whole(self) -> bool:
         """Return whether the end of the body has arrived."""
-        return self._is_whole
+        return self._is_complete
 
     @property
     def is_empty(self) -> bool:
         """Return whether the body is complete and has been read to its end."""
-        return self._is_whole and not self._parts
+        return self._is_complete and not self._parts
 
     def feed(self, data: bytes) -> None:
         """Append a received part."""
@@ -84,12 +84,12 @@
 
     def finish(self) -> None:
         """Mark the body as complete."""
-        self._is_whole = True
+        self._is_complete = True
         self._wake()
 
     def fail(self, error: Exception) -> None:
         """Mark an incomplete body as cut off; `read` then raises the error."""
-        if self._is_whole or self._error is not None:
+        if self._is_complete or self._error is not None:
             return
         self._error = error
         self._wake()
@@ -99,7 +99,7 @@
         while not self._parts:
             if self._error is not None:
                 raise self._error
-            if self._is_whole:
+            if self._is_complete:
                 return b""
             if self._on_wait is not None:
                 self._on_wait()
@@ -135,7 +135,7 @@
         Raise if the body is cut off. Nothing is consumed, so that the reader still
         gets the whole body.
         """
-        while not self._is_whole and self.n_bytes < max_bytes:
+        while not self._is_complete and self.n_bytes < max_bytes:
             if self._error is not None:
                 raise self._error
             self._waiter = asyncio.get_running_loop().create_future()
--- a/packages/pepperstair-http/pepperstair_http/server.py
+++ b/packages/pepperstair-http/pepperstair_http/server.py
@@ -17,8 +17,8 @@
 
 log = structlog.get_logger(__name__)
 
-# Maximum number of connections waiting to be accepted, as many are after a restart of
-# all daemons.
+# Length of the accept queue: many connections arrive at once after a restart of all
+# daemons.
 BACKLOG: Final = 1024
 
 
