--- a/emulator/pepperstair_emulator/attempts.py
+++ b/emulator/pepperstair_emulator/attempts.py
@@ -17,7 +17,7 @@
     Refused,
     decide_retry,
 )
-from pepperstair_core.errors import ErrorKind, Failure, Run
+from pepperstair_core.errors import ErrorKind, Failure, RunStatus
 from pepperstair_core.routing import Endpoint
 
 from .experiment import RouteModel
@@ -63,7 +63,7 @@
         self._excluded: frozenset[tuple[str, str]] = frozenset()
         self._refused: Failure | None = None
         self._n_attempts = 0
-        self._run = Run.NO
+        self._run = RunStatus.NO
         self._chosen: Endpoint | None = None
         self._chosen_ms = 0.0
 
@@ -82,7 +82,7 @@
             is_urgent=route.priority == "urgent",
             route=route.name,
             objective_ms=route.objective_ms,
-            is_room_wanted=self._refused is not None,
+            is_free_slot_required=self._refused is not None,
         )
         if chosen is None:
             self._give_up(self._refused or Failure(ErrorKind.NO_TARGET))
@@ -108,7 +108,7 @@
                 self._run_at(target)
                 return
             retry_after_ms = refused.retry_after_ms
-            failure = Failure(ErrorKind.OVERLOADED, "", retry_after_ms, Run.NO)
+            failure = Failure(ErrorKind.OVERLOADED, "", retry_after_ms, RunStatus.NO)
             self._answer_after_hop(failure)
 
         target.enter(self._route, self._deadline_ms, self._wanted_ms, admitted)
@@ -122,7 +122,7 @@
             return
         if fleet.rng.random() < target.factor("shed"):
             target.leave(route, 1.0)
-            self._answer_after_hop(Failure(ErrorKind.TARGET_REFUSED, run=Run.NO))
+            self._answer_after_hop(Failure(ErrorKind.TARGET_REFUSED, run=RunStatus.NO))
             return
 
         def end(is_good: bool) -> None:
@@ -226,7 +226,7 @@
             route.n_attempts,
             failure.kind is ErrorKind.TARGET_REFUSED,
         )
-        self._run = attempt.has_run
+        self._run = attempt.run_status
         excluded = self._excluded | {self._chosen.key}
         if len(excluded) == len(fleet.endpoints(route.service)):
             self._give_up(failure)
@@ -244,7 +244,7 @@
 
     def _give_up(self, failure: Failure) -> None:
         retry_after_ms = failure.retry_after_ms or RETRY_AFTER_DEFAULT_MS
-        is_not_run = self._run is Run.NO
+        is_not_run = self._run is RunStatus.NO
         self._done(Outcome(False, is_not_run, retry_after_ms if is_not_run else 0.0))
 
 
