--- a/emulator/pepperstair_emulator/__init__.py
+++ b/emulator/pepperstair_emulator/__init__.py
@@ -1,10 +1,10 @@
-"""Plays loads and faults on the product's own decisions, in virtual time."""
+"""Discrete-event simulation of loads and faults on the product's own decision code."""
 
 from __future__ import annotations
 
 from .experiment import Experiment, Policy, parse_experiment_toml
 from .fleet import Fleet
-from .policies import applied
+from .policies import apply_policy
 from .report import iter_table
 from .tally import RouteTally, Tally
 
@@ -14,7 +14,7 @@
     "Policy",
     "RouteTally",
     "Tally",
-    "applied",
+    "apply_policy",
     "iter_table",
     "parse_experiment_toml",
 ]
--- a/emulator/pepperstair_emulator/__main__.py
+++ b/emulator/pepperstair_emulator/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: plays an experiment over seeds and policies."""
+"""The command line: runs an experiment with each seed and policy."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 from .experiment import Experiment, Policy, parse_experiment_toml
 from .fleet import Fleet
-from .policies import UnknownConstantError, applied
+from .policies import UnknownConstantError, apply_policy
 from .report import iter_routes, iter_table
 from .tally import Tally
 
-EXIT_BAD_INPUT = 2
+EXIT_CODE_BAD_INPUT = 2
 _PRODUCT = Policy("product")
 
 app = cyclopts.App(
     name="pepperstair-emulator",
-    help="Play a load and its faults on the product's decisions, in virtual time.",
+    help="Run a load and its faults on the product's decision code, in virtual time.",
 )
 
 
@@ -30,27 +30,32 @@
     *,
     seeds: Annotated[int, cyclopts.Parameter(help="Runs of each policy.")] = 5,
     load: Annotated[float, cyclopts.Parameter(help="Factor on all rates.")] = 0.0,
-    policy: Annotated[str, cyclopts.Parameter(help="Only this one.")] = "",
-    routes: Annotated[bool, cyclopts.Parameter(help="A line a route too.")] = False,
+    policy: Annotated[str, cyclopts.Parameter(help="Run only this policy.")] = "",
+    routes: Annotated[bool, cyclopts.Parameter(help="Also print each route.")] = False,
 ) -> int:
-    """Play an experiment and print what callers got under each policy."""
-    read = parse_experiment_toml(file.read_text(encoding="utf-8"))
-    if read.is_err():
-        for fault in read.unwrap_err():
+    """Run an experiment and print the results of clients under each policy."""
+    parsed = parse_experiment_toml(file.read_text(encoding="utf-8"))
+    if parsed.is_err():
+        for fault in parsed.unwrap_err():
             print(f"{file}: {fault}", file=sys.stderr)
-        return EXIT_BAD_INPUT
-    experiment = read.unwrap()
+        return EXIT_CODE_BAD_INPUT
+    experiment = parsed.unwrap()
     if load > 0.0:
         experiment = replace(experiment, load=load)
-    chosen = [
-        item for item in (_PRODUCT, *experiment.policies) if policy in ("", item.name)
+    policies_to_run = [
+        variant
+        for variant in (_PRODUCT, *experiment.policies)
+        if policy in ("", variant.name)
     ]
     print(f"{experiment.name}: {seeds} seeds of {experiment.length_s:g} s")
     try:
-        runs = [(item.name, _play(experiment, item, seeds)) for item in chosen]
+        runs = [
+            (variant.name, _run_policy(experiment, variant, seeds))
+            for variant in policies_to_run
+        ]
     except UnknownConstantError as error:
         print(f"{file}: {error}", file=sys.stderr)
-        return EXIT_BAD_INPUT
+        return EXIT_CODE_BAD_INPUT
     print("\n".join(iter_table(experiment, runs)))
     if routes:
         for name, tallies in runs:
@@ -59,8 +64,8 @@
     return 0
 
 
-def _play(experiment: Experiment, policy: Policy, n_seeds: int) -> list[Tally]:
-    with applied(policy):
+def _run_policy(experiment: Experiment, policy: Policy, n_seeds: int) -> list[Tally]:
+    with apply_policy(policy):
         return [
             Fleet(experiment, seed, policy.are_zones_known).run()
             for seed in range(n_seeds)
@@ -68,7 +73,7 @@
 
 
 def main() -> None:
-    """Run the command."""
+    """Run the command and exit with its exit code."""
     sys.exit(app())
 
 
--- a/emulator/pepperstair_emulator/attempts.py
+++ b/emulator/pepperstair_emulator/attempts.py
@@ -1,4 +1,4 @@
-"""One call on its way through the product's decisions."""
+"""One emulated call, with its attempts decided by the product's own code."""
 
 from __future__ import annotations
 
@@ -26,16 +26,19 @@
     from .fleet import EmulatedDaemon, Fleet
     from .targets import EmulatedTarget
 
-# What a daemon says where a refusal names no time of its own.
+# Retry-after time of refusals that give none.
 RETRY_AFTER_DEFAULT_MS = 1_000
-SAME_VM_MS = 0.1
-SAME_ZONE_MS = 0.2
-_REFUSALS = (ErrorKind.OVERLOADED, ErrorKind.TARGET_REFUSED, ErrorKind.NO_TARGET)
+SAME_VM_LATENCY_MS = 0.1
+SAME_ZONE_LATENCY_MS = 0.2
+_REFUSAL_KINDS = (ErrorKind.OVERLOADED, ErrorKind.TARGET_REFUSED, ErrorKind.NO_TARGET)
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How a call ended for whoever sent it."""
+    """Result of a call for its sender.
+
+    `is_not_run` is True only if the call is known not to have run at any target.
+    """
 
     is_good: bool
     is_not_run: bool = False
@@ -43,7 +46,7 @@
 
 
 class EmulatedCall:
-    """A request at its first daemon, and its attempts at targets."""
+    """A request at the daemon that received it, with its attempts at targets."""
 
     def __init__(
         self,
@@ -52,23 +55,23 @@
         route: RouteModel,
         deadline_ms: float,
         wanted_ms: float,
-        done: Callable[[Outcome], None],
+        on_done: Callable[[Outcome], None],
     ) -> None:
         self._fleet = fleet
         self._daemon = daemon
         self._route = route
         self._deadline_ms = deadline_ms
         self._wanted_ms = wanted_ms
-        self._done = done
+        self._on_done = on_done
         self._excluded: frozenset[tuple[str, str]] = frozenset()
-        self._refused: Failure | None = None
+        self._overload_failure: Failure | None = None
         self._n_attempts = 0
-        self._run = Run.NO
+        self._run_status = Run.NO
         self._chosen: Endpoint | None = None
         self._chosen_ms = 0.0
 
-    def begin(self) -> None:
-        """Send the call to its first target."""
+    def start(self) -> None:
+        """Make the first attempt."""
         self._daemon.budget_of(self._route.service).add_call(10)
         self._attempt()
 
@@ -82,63 +85,67 @@
             is_urgent=route.priority == "urgent",
             route=route.name,
             objective_ms=route.objective_ms,
-            is_room_wanted=self._refused is not None,
+            is_room_wanted=self._overload_failure is not None,
         )
         if chosen is None:
-            self._give_up(self._refused or Failure(ErrorKind.NO_TARGET))
+            self._give_up(self._overload_failure or Failure(ErrorKind.NO_TARGET))
             return
         self._n_attempts += 1
         self._chosen, self._chosen_ms = chosen, now_ms
         fleet.tally.n_calls += 1
-        is_far = chosen.availability_zone != self._daemon.zone
-        fleet.tally.n_calls_between_zones += is_far
+        is_cross_zone = chosen.availability_zone != self._daemon.zone
+        fleet.tally.n_cross_zone_calls += is_cross_zone
         target = fleet.targets[chosen.vm]
-        fleet.clock.after(self._hop_ms(chosen), lambda: self._arrive(target))
+        fleet.clock.call_later(self._hop_ms(chosen), lambda: self._arrive(target))
 
     def _hop_ms(self, chosen: Endpoint) -> float:
         if chosen.vm == self._daemon.vm:
-            return SAME_VM_MS
+            return SAME_VM_LATENCY_MS
         if chosen.availability_zone == self._daemon.zone:
-            return SAME_ZONE_MS
+            return SAME_ZONE_LATENCY_MS
         return self._fleet.experiment.zone_ms
 
     def _arrive(self, target: EmulatedTarget) -> None:
-        def admitted(refused: Refused | None) -> None:
+        def on_verdict(refused: Refused | None) -> None:
             if refused is None:
-                self._run_at(target)
+                self._run_on(target)
                 return
             retry_after_ms = refused.retry_after_ms
             failure = Failure(ErrorKind.OVERLOADED, "", retry_after_ms, Run.NO)
             self._answer_after_hop(failure)
 
-        target.enter(self._route, self._deadline_ms, self._wanted_ms, admitted)
+        target.request_slot(self._route, self._deadline_ms, self._wanted_ms, on_verdict)
 
-    def _run_at(self, target: EmulatedTarget) -> None:
+    def _run_on(self, target: EmulatedTarget) -> None:
         fleet, route = self._fleet, self._route
         started_ms = fleet.clock.now_ms
         if target.factor("away"):
-            target.leave(route, None)
+            target.release_slot(route, None)
             self._answer_after_hop(Failure(ErrorKind.TARGET_UNREACHABLE))
             return
         if fleet.rng.random() < target.factor("shed"):
-            target.leave(route, 1.0)
+            target.release_slot(route, 1.0)
             self._answer_after_hop(Failure(ErrorKind.TARGET_REFUSED, run=Run.NO))
             return
 
         def end(is_good: bool) -> None:
-            target.leave(route, fleet.clock.now_ms - started_ms)
+            target.release_slot(route, fleet.clock.now_ms - started_ms)
             fleet.tally.n_runs_failed += not is_good
             self._answer_after_hop(None if is_good else Failure(ErrorKind.INTERNAL))
 
-        def work() -> None:
-            left_ms = self._deadline_ms - fleet.clock.now_ms
+        def do_work() -> None:
+            remaining_ms = self._deadline_ms - fleet.clock.now_ms
             work_ms = target.work_ms(route)
-            is_in_time = work_ms <= left_ms
-            fleet.clock.after(min(work_ms, max(0.0, left_ms)), lambda: end(is_in_time))
+            is_in_time = work_ms <= remaining_ms
+            fleet.clock.call_later(
+                min(work_ms, max(0.0, remaining_ms)), lambda: end(is_in_time)
+            )
 
-        self._call_others(target, list(self._iter_inner()), work, lambda: end(False))
+        self._make_inner_calls(
+            target, list(self._draw_inner_routes()), do_work, lambda: end(False)
+        )
 
-    def _iter_inner(self) -> list[RouteModel]:
+    def _draw_inner_routes(self) -> list[RouteModel]:
         fleet = self._fleet
         return [
             fleet.routes[inner.route]
@@ -147,27 +154,30 @@
             for _ in range(inner.n_times)
         ]
 
-    def _call_others(
+    def _make_inner_calls(
         self,
         target: EmulatedTarget,
-        left: list[RouteModel],
-        work: Callable[[], None],
-        fail: Callable[[], None],
+        remaining: list[RouteModel],
+        do_work: Callable[[], None],
+        on_failure: Callable[[], None],
     ) -> None:
-        """Make the calls of a run one after the other, then its own work."""
-        if not left:
-            work()
+        """Make the calls of a run one after the other, then run `do_work`.
+
+        The first failed call ends the run with `on_failure`.
+        """
+        if not remaining:
+            do_work()
             return
 
-        def done(outcome: Outcome) -> None:
+        def on_done(outcome: Outcome) -> None:
             if outcome.is_good:
-                self._call_others(target, left[1:], work, fail)
+                self._make_inner_calls(target, remaining[1:], do_work, on_failure)
             else:
-                fail()
+                on_failure()
 
         daemon = self._fleet.daemons[target.vm]
         now_ms = self._fleet.clock.now_ms
-        self._fleet.call(daemon, left[0], self._deadline_ms, now_ms, done)
+        self._fleet.call(daemon, remaining[0], self._deadline_ms, now_ms, on_done)
 
     def _answer_after_hop(self, failure: Failure | None) -> None:
         vm = self._chosen.vm
@@ -175,27 +185,28 @@
 
         def arrive() -> None:
             self._daemon.loads[vm] = load
-            self._take(failure)
+            self._handle_answer(failure)
 
-        self._fleet.clock.after(self._hop_ms(self._chosen), arrive)
+        self._fleet.clock.call_later(self._hop_ms(self._chosen), arrive)
 
-    def _take(self, failure: Failure | None) -> None:
+    def _handle_answer(self, failure: Failure | None) -> None:
         service = self._route.service
         latency_ms = self._fleet.clock.now_ms - self._chosen_ms
         if failure is None:
             self._daemon.acceptance.record(service, True)
             self._end(EndKind.GOOD, latency_ms)
-            self._done(Outcome(is_good=True))
+            self._on_done(Outcome(is_good=True))
             return
         if failure.kind is ErrorKind.INTERNAL:
-            # The target's own failure, passed on as it is where it may not run twice.
+            # The run itself failed: the failure is returned without another attempt,
+            # as the product does where a request may not run twice.
             self._end(EndKind.ERROR, latency_ms)
-            self._done(Outcome(is_good=False))
+            self._on_done(Outcome(is_good=False))
             return
         avoided_ms = failure.retry_after_ms
         if failure.kind is ErrorKind.OVERLOADED:
             avoided_ms = FULL_AVOIDED_MS
-        kind = EndKind.REFUSED if failure.kind in _REFUSALS else EndKind.ERROR
+        kind = EndKind.REFUSED if failure.kind in _REFUSAL_KINDS else EndKind.ERROR
         self._end(kind, latency_ms, int(avoided_ms))
         if failure.kind is ErrorKind.TARGET_REFUSED:
             acceptance = self._daemon.acceptance
@@ -222,11 +233,11 @@
             route.is_idempotent,
             True,
             self._deadline_ms - fleet.clock.now_ms,
-            self._run,
+            self._run_status,
             route.n_attempts,
             failure.kind is ErrorKind.TARGET_REFUSED,
         )
-        self._run = attempt.has_run
+        self._run_status = attempt.has_run
         excluded = self._excluded | {self._chosen.key}
         if len(excluded) == len(fleet.endpoints(route.service)):
             self._give_up(failure)
@@ -237,15 +248,15 @@
             self._give_up(failure)
             return
         is_full = failure.kind is ErrorKind.OVERLOADED
-        self._refused = failure if is_full else None
+        self._overload_failure = failure if is_full else None
         self._excluded = excluded
         fleet.tally.n_retries += 1
-        fleet.clock.after(decision.delay_ms, self._attempt)
+        fleet.clock.call_later(decision.delay_ms, self._attempt)
 
     def _give_up(self, failure: Failure) -> None:
         retry_after_ms = failure.retry_after_ms or RETRY_AFTER_DEFAULT_MS
-        is_not_run = self._run is Run.NO
-        self._done(Outcome(False, is_not_run, retry_after_ms if is_not_run else 0.0))
+        is_not_run = self._run_status is Run.NO
+        self._on_done(Outcome(False, is_not_run, retry_after_ms if is_not_run else 0.0))
 
 
 __all__ = ["EmulatedCall", "Outcome"]
--- a/emulator/pepperstair_emulator/clock.py
+++ b/emulator/pepperstair_emulator/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: events in the order of their moments."""
+"""Virtual time: a queue of events ordered by time."""
 
 from __future__ import annotations
 
@@ -6,37 +6,37 @@
 import itertools
 from collections.abc import Callable
 
-Act = Callable[[], None]
+Callback = Callable[[], None]
 
 
 class VirtualClock:
-    """Runs functions at moments of a time that passes only between them.
+    """Runs callbacks in virtual time, which advances only between callbacks.
 
     >>> clock = VirtualClock()
-    >>> clock.after(5.0, lambda: print(clock.now_ms))
+    >>> clock.call_later(5.0, lambda: print(clock.now_ms))
     >>> clock.run()
     5.0
     """
 
     def __init__(self) -> None:
         self.now_ms = 0.0
-        self._events: list[tuple[float, int, Act]] = []
-        self._numbers = itertools.count()
+        self._events: list[tuple[float, int, Callback]] = []
+        self._sequence_numbers = itertools.count()
 
-    def at(self, at_ms: float, act: Act) -> None:
-        """Run a function at a moment, or now where that is over."""
-        entry = (max(at_ms, self.now_ms), next(self._numbers), act)
+    def call_at(self, at_ms: float, callback: Callback) -> None:
+        """Schedule a callback at a time; a past time means now."""
+        entry = (max(at_ms, self.now_ms), next(self._sequence_numbers), callback)
         heapq.heappush(self._events, entry)
 
-    def after(self, delay_ms: float, act: Act) -> None:
-        """Run a function after a while."""
-        self.at(self.now_ms + delay_ms, act)
+    def call_later(self, delay_ms: float, callback: Callback) -> None:
+        """Schedule a callback after a delay."""
+        self.call_at(self.now_ms + delay_ms, callback)
 
     def run(self) -> None:
-        """Run everything that is due, and what follows from it."""
+        """Run all scheduled callbacks, including those scheduled meanwhile."""
         while self._events:
-            self.now_ms, _, act = heapq.heappop(self._events)
-            act()
+            self.now_ms, _, callback = heapq.heappop(self._events)
+            callback()
 
 
 __all__ = ["VirtualClock"]
--- a/emulator/pepperstair_emulator/fleet.py
+++ b/emulator/pepperstair_emulator/fleet.py
@@ -1,4 +1,4 @@
-"""All targets, the daemons beside them and the clients of one run."""
+"""All targets, daemons and clients of one run."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from .tally import Tally
 from .targets import EmulatedTarget
 
-REPORT_MS = 250.0
+LOAD_REPORT_INTERVAL_MS = 250.0
 RETRY_WINDOW_MS = 10_000
-# A client honours a time to come back up to this share of what it has left.
-PATIENT_SHARE = 1 / 3
-# How long clients wait after a failure that names no time, on average.
-CLIENT_BACKOFF_MS = 100.0
+# A client honours a retry-after time up to this share of its remaining time.
+RETRY_AFTER_MAX_SHARE = 1 / 3
+# Mean delay before a client retries a failure without a retry-after time.
+CLIENT_BACKOFF_MEAN_MS = 100.0
 
 
 class EmulatedDaemon:
-    """What one daemon knows when it chooses a target for a call."""
+    """State that one daemon uses to choose a target for a call."""
 
     def __init__(self, fleet: Fleet, vm: str, zone: str, own_zone: str) -> None:
         self.vm = vm
@@ -42,16 +42,17 @@
         self._budgets: dict[str, FleetRetryBudget] = {}
 
     def load_of(self, endpoint: Endpoint) -> Load | None:
-        """Return the load of a target: exact beside it, else as last told.
+        """Return the load of a target.
 
-        That was by an answer from there, or by the heartbeat since.
+        The load of the target on the daemon's own VM is current; that of others
+        is from the last answer or the last heartbeat, whichever came later.
         """
         if endpoint.vm == self.vm:
             return self._fleet.targets[endpoint.vm].load
         return self.loads.get(endpoint.vm)
 
     def budget_of(self, service: str) -> FleetRetryBudget:
-        """Return this daemon's part of a service's retry budget."""
+        """Return this daemon's share of a service's retry budget."""
         if service not in self._budgets:
             fleet = self._fleet
             experiment = fleet.experiment
@@ -65,10 +66,10 @@
 
 
 class Fleet:
-    """Plays an experiment once.
+    """Runs an experiment once with one seed.
 
-    One daemon stands beside each target; a service's targets are in the zones in
-    turn. Clients send to all daemons alike.
+    Each target has a daemon on its VM, and the targets of a service are assigned
+    to the zones in turn. Clients choose a daemon at random for each request.
     """
 
     def __init__(
@@ -90,17 +91,17 @@
         return self._endpoints[service]
 
     def run(self) -> Tally:
-        """Play the load to its last answer."""
+        """Run the load until the last answer and return the results."""
         end_ms = self.experiment.length_s * 1000
         for route in self.experiment.routes:
-            self._schedule_client(route, 0.0, end_ms)
-        for at_ms in range(0, int(end_ms) + 5_000, int(REPORT_MS)):
-            self.clock.at(at_ms, self._report)
+            self._schedule_next_request(route, 0.0, end_ms)
+        for at_ms in range(0, int(end_ms) + 5_000, int(LOAD_REPORT_INTERVAL_MS)):
+            self.clock.call_at(at_ms, self._report_loads)
         self.clock.run()
         return self.tally
 
     def _add_service(self, service: ServiceModel, are_zones_known: bool) -> None:
-        """Add the targets of a service, each with the daemon beside it."""
+        """Add the targets of a service, each with the daemon on its VM."""
         experiment = self.experiment
         faults = tuple(
             fault for fault in experiment.faults if fault.service == service.name
@@ -115,64 +116,81 @@
             endpoints.append(target.endpoint)
         self._endpoints[service.name] = tuple(endpoints)
 
-    def _schedule_client(
+    def _schedule_next_request(
         self, route: RouteModel, from_ms: float, end_ms: float
     ) -> None:
-        n_per_ms = route.per_s * self.experiment.load / 1000
-        if n_per_ms <= 0.0:
+        rate_per_ms = route.per_s * self.experiment.load / 1000
+        if rate_per_ms <= 0.0:
             return
-        at_ms = from_ms + self.rng.expovariate(n_per_ms)
+        at_ms = from_ms + self.rng.expovariate(rate_per_ms)
         if at_ms < end_ms:
-            self.clock.at(at_ms, lambda: self._send_first(route, at_ms, end_ms))
+            self.clock.call_at(
+                at_ms, lambda: self._send_first_attempt(route, at_ms, end_ms)
+            )
 
-    def _send_first(self, route: RouteModel, at_ms: float, end_ms: float) -> None:
-        self._schedule_client(route, at_ms, end_ms)
-        self.tally.routes[route.name].n_asked += 1
+    def _send_first_attempt(
+        self, route: RouteModel, at_ms: float, end_ms: float
+    ) -> None:
+        self._schedule_next_request(route, at_ms, end_ms)
+        self.tally.routes[route.name].n_requests += 1
         self._send(route, at_ms, route.n_retries)
 
-    def _send(self, route: RouteModel, first_ms: float, n_left: int) -> None:
+    def _send(
+        self, route: RouteModel, first_sent_ms: float, n_retries_left: int
+    ) -> None:
         daemon = self.rng.choice(list(self.daemons.values()))
-        done = partial(self._take_client_answer, route, first_ms, n_left)
-        given_up_ms = first_ms + route.patience_ms
-        self.call(daemon, route, given_up_ms, first_ms, done)
+        on_done = partial(
+            self._handle_client_answer, route, first_sent_ms, n_retries_left
+        )
+        client_deadline_ms = first_sent_ms + route.patience_ms
+        self.call(daemon, route, client_deadline_ms, first_sent_ms, on_done)
 
     def call(
         self,
         daemon: EmulatedDaemon,
         route: RouteModel,
-        given_up_ms: float,
-        first_ms: float,
-        done: Callable[[Outcome], None],
+        client_deadline_ms: float,
+        first_sent_ms: float,
+        on_done: Callable[[Outcome], None],
     ) -> None:
-        """Send a request to a daemon, which is wanted since `first_ms`."""
+        """Send a request to a daemon.
+
+        The latency objective counts from `first_sent_ms`, also for retries.
+        """
         now_ms = self.clock.now_ms
-        deadline_ms = min(given_up_ms, now_ms + route.timeout_ms)
-        wanted_ms = max(now_ms, first_ms + route.objective_ms)
-        EmulatedCall(self, daemon, route, deadline_ms, wanted_ms, done).begin()
+        deadline_ms = min(client_deadline_ms, now_ms + route.timeout_ms)
+        wanted_ms = max(now_ms, first_sent_ms + route.objective_ms)
+        EmulatedCall(self, daemon, route, deadline_ms, wanted_ms, on_done).start()
 
-    def _take_client_answer(
-        self, route: RouteModel, first_ms: float, n_left: int, outcome: Outcome
+    def _handle_client_answer(
+        self,
+        route: RouteModel,
+        first_sent_ms: float,
+        n_retries_left: int,
+        outcome: Outcome,
     ) -> None:
         tally = self.tally.routes[route.name]
         now_ms = self.clock.now_ms
         if outcome.is_good:
-            is_in_time = now_ms - first_ms <= route.objective_ms
+            is_in_time = now_ms - first_sent_ms <= route.objective_ms
             tally.n_in_time += is_in_time
             tally.n_late += not is_in_time
             return
-        may_return = outcome.is_not_run or route.is_idempotent
-        left_ms = first_ms + route.patience_ms - now_ms
-        if may_return and n_left and left_ms > 0.0:
-            delay_ms = self.rng.expovariate(1 / CLIENT_BACKOFF_MS)
+        may_retry = outcome.is_not_run or route.is_idempotent
+        remaining_ms = first_sent_ms + route.patience_ms - now_ms
+        if may_retry and n_retries_left and remaining_ms > 0.0:
+            delay_ms = self.rng.expovariate(1 / CLIENT_BACKOFF_MEAN_MS)
             if outcome.retry_after_ms:
-                delay_ms = min(outcome.retry_after_ms, left_ms * PATIENT_SHARE)
-            again = partial(self._send, route, first_ms, n_left - 1)
-            self.clock.after(delay_ms, again)
+                delay_ms = min(
+                    outcome.retry_after_ms, remaining_ms * RETRY_AFTER_MAX_SHARE
+                )
+            retry = partial(self._send, route, first_sent_ms, n_retries_left - 1)
+            self.clock.call_later(delay_ms, retry)
             return
         tally.n_refused += outcome.is_not_run
         tally.n_failed += not outcome.is_not_run
 
-    def _report(self) -> None:
+    def _report_loads(self) -> None:
         loads = {vm: target.load for vm, target in self.targets.items()}
         for daemon in self.daemons.values():
             daemon.loads = dict(loads)
--- a/emulator/pepperstair_emulator/policies.py
+++ b/emulator/pepperstair_emulator/policies.py
@@ -1,4 +1,4 @@
-"""Variants of the product's decisions, for the time of one run."""
+"""Applies policies: changed constants of the product's decision modules."""
 
 from __future__ import annotations
 
@@ -13,31 +13,33 @@
 
 
 class UnknownConstantError(Exception):
-    """A policy names a constant that no decision has."""
+    """Raised when a policy names a constant that no decision module has."""
 
 
 @contextlib.contextmanager
-def applied(policy: Policy) -> Iterator[None]:
-    """Give the constants that a policy names its values, and theirs back after.
+def apply_policy(policy: Policy) -> Iterator[None]:
+    """Set the constants that a policy changes, and restore them on exit.
+
+    Raises `UnknownConstantError` for a module or constant that does not exist.
 
     >>> from .experiment import ConstantChange
     >>> policy = Policy("x", (ConstantChange("service_times.SHORT_SHARE", 0.0),))
-    >>> with applied(policy):
+    >>> with apply_policy(policy):
     ...     pass
     """
-    before = []
+    saved_values = []
     try:
         for change in policy.constants:
-            module, constant = _find(change.name)
-            before.append((module, constant, getattr(module, constant)))
+            module, constant = _resolve_constant(change.name)
+            saved_values.append((module, constant, getattr(module, constant)))
             setattr(module, constant, change.value)
         yield
     finally:
-        for module, constant, value in reversed(before):
+        for module, constant, value in reversed(saved_values):
             setattr(module, constant, value)
 
 
-def _find(name: str) -> tuple[ModuleType, str]:
+def _resolve_constant(name: str) -> tuple[ModuleType, str]:
     module_name, _, constant = name.partition(".")
     try:
         module = importlib.import_module(f"{_PACKAGE}.{module_name}")
@@ -48,4 +50,4 @@
     return module, constant
 
 
-__all__ = ["UnknownConstantError", "applied"]
+__all__ = ["UnknownConstantError", "apply_policy"]
--- a/emulator/pepperstair_emulator/report.py
+++ b/emulator/pepperstair_emulator/report.py
@@ -1,4 +1,4 @@
-"""The table of an experiment: what callers got under each policy."""
+"""The result table of an experiment: outcomes of client requests per policy."""
 
 from __future__ import annotations
 
@@ -8,62 +8,69 @@
 from .experiment import Experiment
 from .tally import RouteTally, Tally
 
-_HEAD = (
+_HEADER = (
     "policy                 worth  spread  in time   late  refused  failed"
     "   far  runs lost"
 )
 
 
 def worth_of(experiment: Experiment, tally: Tally) -> float:
-    """Return the share of all worth that callers asked for and got."""
-    asked = sum(
-        route.worth * tally.routes[route.name].n_asked for route in experiment.routes
+    """Return the worth of the answers received, as a share of the worth requested."""
+    requested_worth = sum(
+        route.worth * tally.routes[route.name].n_requests for route in experiment.routes
     )
-    got = sum(
+    received_worth = sum(
         route.worth * tally.routes[route.name].n_in_time
         + route.late_worth * tally.routes[route.name].n_late
         for route in experiment.routes
     )
-    return got / asked if asked else 0.0
+    return received_worth / requested_worth if requested_worth else 0.0
 
 
 def iter_table(
     experiment: Experiment, runs: Iterable[tuple[str, Sequence[Tally]]]
 ) -> Iterator[str]:
-    """Yield a line for each policy, with the spread of its worth over seeds."""
-    yield _HEAD
+    """Yield a header and a line for each policy.
+
+    The spread is the standard deviation of the worth over the seeds.
+    """
+    yield _HEADER
     for name, tallies in runs:
-        worths = [worth_of(experiment, tally) for tally in tallies]
-        spread = statistics.pstdev(worths)
-        shares = _shares(tallies)
+        worth_shares = [worth_of(experiment, tally) for tally in tallies]
+        spread = statistics.pstdev(worth_shares)
+        shares = _format_shares(tallies)
         n_calls = sum(tally.n_calls for tally in tallies)
-        far = sum(tally.n_calls_between_zones for tally in tallies) / max(1, n_calls)
-        n_lost = sum(tally.n_runs_failed for tally in tallies) / len(tallies)
+        cross_zone_share = sum(tally.n_cross_zone_calls for tally in tallies) / max(
+            1, n_calls
+        )
+        n_failed_runs = sum(tally.n_runs_failed for tally in tallies) / len(tallies)
         yield (
-            f"{name:21}  {statistics.mean(worths):.3f}   {spread:.3f}  {shares}"
-            f"  {far:.2f}  {n_lost:9.0f}"
+            f"{name:21}  {statistics.mean(worth_shares):.3f}   {spread:.3f}  {shares}"
+            f"  {cross_zone_share:.2f}  {n_failed_runs:9.0f}"
         )
 
 
 def iter_routes(experiment: Experiment, tallies: Sequence[Tally]) -> Iterator[str]:
-    """Yield a line for each route that clients use."""
+    """Yield a line for each route that clients call directly."""
     for route in experiment.routes:
         if route.per_s <= 0.0:
             continue
-        of_route = [tally.routes[route.name] for tally in tallies]
-        yield f"  {route.name:33}  {_shares_of(of_route)}"
+        route_tallies = [tally.routes[route.name] for tally in tallies]
+        yield f"  {route.name:33}  {_format_route_shares(route_tallies)}"
 
 
-def _shares(tallies: Sequence[Tally]) -> str:
-    return _shares_of([part for tally in tallies for part in tally.routes.values()])
+def _format_shares(tallies: Sequence[Tally]) -> str:
+    return _format_route_shares(
+        [each for tally in tallies for each in tally.routes.values()]
+    )
 
 
-def _shares_of(parts: Sequence[RouteTally]) -> str:
-    n_asked = max(1, sum(part.n_asked for part in parts))
-    in_time = sum(part.n_in_time for part in parts) / n_asked
-    late = sum(part.n_late for part in parts) / n_asked
-    refused = sum(part.n_refused for part in parts) / n_asked
-    failed = sum(part.n_failed for part in parts) / n_asked
+def _format_route_shares(route_tallies: Sequence[RouteTally]) -> str:
+    n_requests = max(1, sum(each.n_requests for each in route_tallies))
+    in_time = sum(each.n_in_time for each in route_tallies) / n_requests
+    late = sum(each.n_late for each in route_tallies) / n_requests
+    refused = sum(each.n_refused for each in route_tallies) / n_requests
+    failed = sum(each.n_failed for each in route_tallies) / n_requests
     return f"  {in_time:.3f}  {late:.3f}    {refused:.3f}   {failed:.3f}"
 
 
--- a/emulator/pepperstair_emulator/tally.py
+++ b/emulator/pepperstair_emulator/tally.py
@@ -1,4 +1,4 @@
-"""What callers got in one run."""
+"""Counts of the outcomes of one run."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 @dataclass(slots=True)
 class RouteTally:
-    """The answers to the requests of one route's clients."""
+    """Outcomes of the client requests of one route."""
 
-    n_asked: int = 0
+    n_requests: int = 0
     n_in_time: int = 0
     n_late: int = 0
     n_refused: int = 0
@@ -19,13 +19,13 @@
 
 @dataclass(slots=True)
 class Tally:
-    """The answers of all routes, and what the calls for them cost."""
+    """Outcomes of all routes, and the number of calls to targets."""
 
     routes: dict[str, RouteTally] = field(
         default_factory=lambda: defaultdict(RouteTally)
     )
     n_calls: int = 0
-    n_calls_between_zones: int = 0
+    n_cross_zone_calls: int = 0
     n_retries: int = 0
     n_runs_failed: int = 0
 
--- a/emulator/pepperstair_emulator/targets.py
+++ b/emulator/pepperstair_emulator/targets.py
@@ -1,4 +1,4 @@
-"""Targets with slots, speeds and faults, behind the product's admission."""
+"""Targets with slots, speeds and faults, using the product's admission."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 CUSTOMER = "c"
 N_QUEUED_MAX = 256
-Verdict = Callable[[Refused | None], None]
+AdmissionCallback = Callable[[Refused | None], None]
 
 
 class EmulatedTarget:
-    """One target and the daemon beside it, which admits its calls."""
+    """One target and the admission of its calls by the daemon on its VM."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._clock = clock
         self._rng = rng
         self._tickets = itertools.count(1)
-        self._waiting: dict[int, Verdict] = {}
+        self._waiting: dict[int, AdmissionCallback] = {}
         state = TargetState.SERVING
         target = Target(self.vm, "127.0.0.1:1", (), service.n_slots, 110, state)
         policy = TargetPolicy("p", "")
@@ -46,30 +46,34 @@
 
     @property
     def load(self) -> Load:
-        """Return what the daemon reports of the target."""
+        """Return the load of the target that its daemon reports."""
         return Load(self.admission.n_in_flight, self.admission.n_queued)
 
     def factor(self, kind: str) -> float:
-        """Return the factor of the faults of a kind that last now, 0 for none."""
+        """Return the largest factor of the active faults of a kind, 0 for none."""
         now_s = self._clock.now_ms / 1000
-        lasting = (
+        active_factors = (
             fault.factor
             for fault in self._faults
             if fault.kind == kind and fault.from_s <= now_s < fault.from_s + fault.for_s
         )
-        return max(lasting, default=0.0)
+        return max(active_factors, default=0.0)
 
     def work_ms(self, route: RouteModel) -> float:
-        """Draw how long the target works on one request."""
-        drawn = self._rng.lognormvariate(-(route.spread**2) / 2, route.spread)
-        return route.work_ms * drawn / self.speed * max(1.0, self.factor("slow"))
+        """Draw the time that the target takes for one request."""
+        work_factor = self._rng.lognormvariate(-(route.spread**2) / 2, route.spread)
+        return route.work_ms * work_factor / self.speed * max(1.0, self.factor("slow"))
 
-    def enter(
-        self, route: RouteModel, deadline_ms: float, wanted_ms: float, done: Verdict
+    def request_slot(
+        self,
+        route: RouteModel,
+        deadline_ms: float,
+        wanted_ms: float,
+        on_verdict: AdmissionCallback,
     ) -> None:
-        """Ask for a slot; `done` gets None once it is there, or the refusal."""
+        """Request a slot; `on_verdict` receives None on admission, or the refusal."""
         ticket = next(self._tickets)
-        self._waiting[ticket] = done
+        self._waiting[ticket] = on_verdict
         now_ms = self._clock.now_ms
         call = WaitingCall(
             ticket,
@@ -81,29 +85,32 @@
             wanted_ms,
             route.name,
         )
-        self._take(self.admission.arrive(call, now_ms))
+        self._deliver_verdicts(self.admission.arrive(call, now_ms))
+
+    def release_slot(self, route: RouteModel, service_ms: float | None) -> None:
+        """Release the slot of a call.
 
-    def leave(self, route: RouteModel, service_ms: float | None) -> None:
-        """Give the slot of a call back."""
+        `service_ms` is None if the call says nothing about the target's speed.
+        """
         now_ms = self._clock.now_ms
-        self._take(
+        self._deliver_verdicts(
             self.admission.finish(
                 CUSTOMER, route.priority, service_ms, now_ms, route.name
             )
         )
 
-    def _take(self, verdicts: list[Admitted | Refused]) -> None:
+    def _deliver_verdicts(self, verdicts: list[Admitted | Refused]) -> None:
         for verdict in verdicts:
-            done = self._waiting.pop(verdict.ticket)
-            done(verdict if isinstance(verdict, Refused) else None)
+            on_verdict = self._waiting.pop(verdict.ticket)
+            on_verdict(verdict if isinstance(verdict, Refused) else None)
         expiry_ms = self.admission.next_expiry_ms
         if expiry_ms is not None:
-            self._clock.at(expiry_ms, self._expire)
+            self._clock.call_at(expiry_ms, self._expire)
 
     def _expire(self) -> None:
         verdicts = self.admission.expire(self._clock.now_ms)
         if verdicts:
-            self._take(verdicts)
+            self._deliver_verdicts(verdicts)
 
 
 __all__ = ["EmulatedTarget"]
--- a/packages/pepperstair-cli/pepperstair_cli/__init__.py
+++ b/packages/pepperstair-cli/pepperstair_cli/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' command line."""
+"""The `pepperstair` command line for operators."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-cli/pepperstair_cli/__main__.py
+++ b/packages/pepperstair-cli/pepperstair_cli/__main__.py
@@ -1,4 +1,4 @@
-"""The command line's entry: parses, then calls one function of `commands`."""
+"""Entry point of the command line: parses the arguments and runs one command."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 app = cyclopts.App(
     name="pepperstair",
-    help="State routing and traffic intent, and see what became of it.",
+    help="Change routing and traffic intent, and inspect how the fleet applies it.",
     version_flags=["--version"],
     result_action="return_value",
 )
@@ -44,14 +44,17 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run the command that the arguments name and exit with its code."""
+    """Run the command named by the arguments and exit with its exit code."""
     sys.exit(run(arguments))
 
 
 def run(arguments: Sequence[str] | None = None) -> ExitCode:
-    """Run one command; wrong arguments are one line and bad input."""
+    """Run one command and return its exit code.
+
+    Invalid arguments print one line and return `ExitCode.BAD_INPUT`.
+    """
     try:
-        ended = app(arguments, exit_on_error=False, print_error=False)
+        exit_code = app(arguments, exit_on_error=False, print_error=False)
     except cyclopts.CycloptsError as error:
         print(" ".join(str(error).split()), file=sys.stderr)
         return ExitCode.BAD_INPUT
@@ -59,16 +62,16 @@
         print("interrupted: a change that was sent may take effect", file=sys.stderr)
         return ExitCode.OUTCOME_UNKNOWN
     except BrokenPipeError:
-        _forget_output()
-        return ExitCode.DONE
-    return ended if isinstance(ended, ExitCode) else ExitCode.DONE
+        _discard_output()
+        return ExitCode.SUCCESS
+    return exit_code if isinstance(exit_code, ExitCode) else ExitCode.SUCCESS
 
 
-def _forget_output() -> None:
-    """Send further output nowhere, as the reader of a pipe has left.
+def _discard_output() -> None:
+    """Redirect standard output to the null device after its reader closed the pipe.
 
-    The interpreter writes out what is buffered when it ends, and would print a
-    traceback over an operator's `pepperstair get lantern | head`.
+    The interpreter flushes buffered output on exit. With the pipe closed, that
+    would print a traceback after `pepperstair get lantern | head`.
     """
     os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
 
--- a/packages/pepperstair-cli/pepperstair_cli/commands/__init__.py
+++ b/packages/pepperstair-cli/pepperstair_cli/commands/__init__.py
@@ -1,3 +1,3 @@
-"""One module for each verb of the command line."""
+"""Commands of the command line, one module each."""
 
 from __future__ import annotations
--- a/packages/pepperstair-cli/pepperstair_cli/commands/apply.py
+++ b/packages/pepperstair-cli/pepperstair_cli/commands/apply.py
@@ -1,4 +1,4 @@
-"""`pepperstair apply`: hand an intent document to the fleet."""
+"""`pepperstair apply`: send an intent document to the fleet."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ..changes import ChangeOptions, send_change
 from ..connection import Connection
 from ..documents import read_intent_file
-from ..output import ExitCode, finish
+from ..output import ExitCode, print_result
 
 _NO_OPTIONS = ChangeOptions()
 
@@ -25,9 +25,9 @@
     """
     read = read_intent_file(file)
     if read.is_err():
-        return finish(read, connection.output)
-    sent = asyncio.run(send_change(connection, read.unwrap(), options))
-    return finish(sent, connection.output)
+        return print_result(read, connection.output)
+    result = asyncio.run(send_change(connection, read.unwrap(), options))
+    return print_result(result, connection.output)
 
 
 __all__ = ["run"]
--- a/packages/pepperstair-cli/pepperstair_cli/commands/check.py
+++ b/packages/pepperstair-cli/pepperstair_cli/commands/check.py
@@ -11,8 +11,8 @@
 from pepperstair_core.intent import parse_intent_toml
 
 from ..connection import Output
-from ..documents import is_foreign, read_intent_file, read_text
-from ..output import ExitCode, Refusal, Report, finish, refuse_faults
+from ..documents import is_platform_document, read_intent_file, read_text
+from ..output import CommandFailure, ExitCode, Report, invalid_document, print_result
 
 
 def run(file: Path, /, *, output: Output = "text") -> ExitCode:
@@ -21,14 +21,14 @@
     Parameters
     ----------
     file
-        Settings of a daemon or an intent document in TOML, or a document of the
-        platform in JSON.
+        Settings of a daemon or an intent document in TOML, or a platform document
+        in JSON.
     """
-    return finish(_check(file), output)
+    return print_result(_check(file), output)
 
 
-def _check(file: Path) -> Result[Report, Refusal]:
-    if is_foreign(file):
+def _check(file: Path) -> Result[Report, CommandFailure]:
+    if is_platform_document(file):
         return read_intent_file(file).map(lambda _: _valid(file, "intent"))
     read = read_text(file)
     if read.is_err():
@@ -37,7 +37,7 @@
     is_settings = _is_settings(text)
     parsed = (parse_settings_toml if is_settings else parse_intent_toml)(text)
     if parsed.is_err():
-        return refuse_faults(str(file), parsed.unwrap_err())
+        return invalid_document(str(file), parsed.unwrap_err())
     kind = "settings" if is_settings else "intent"
     return Ok(_valid(file, kind))
 
@@ -48,7 +48,10 @@
 
 
 def _is_settings(text: str) -> bool:
-    """Return whether a document is settings: only an intent names a customer."""
+    """Return whether a TOML document holds settings of a daemon.
+
+    Intent documents have the key `customer`, which settings never have.
+    """
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError:
--- a/packages/pepperstair-cli/pepperstair_cli/commands/diff.py
+++ b/packages/pepperstair-cli/pepperstair_cli/commands/diff.py
@@ -1,4 +1,4 @@
-"""`pepperstair diff`: compare an intent document with what is in force."""
+"""`pepperstair diff`: compare an intent document with the version in force."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 from ..connection import Connection
 from ..documents import (
-    HeldIntent,
+    VersionedIntent,
     fetch_intent_or_empty,
     intent_to_toml,
     read_intent_file,
 )
-from ..output import ExitCode, Refusal, Report, finish, join_lines
+from ..output import CommandFailure, ExitCode, Report, join_lines, print_result
 
 
 def run(file: Path, /, *, connection: Connection) -> ExitCode:
@@ -26,39 +26,39 @@
     Parameters
     ----------
     file
-        TOML intent document, or a document of the platform in JSON.
+        TOML intent document, or a platform document in JSON.
     """
-    return finish(asyncio.run(_diff(file, connection)), connection.output)
+    return print_result(asyncio.run(_diff(file, connection)), connection.output)
 
 
-async def _diff(file: Path, connection: Connection) -> Result[Report, Refusal]:
+async def _diff(file: Path, connection: Connection) -> Result[Report, CommandFailure]:
     read = read_intent_file(file)
     if read.is_err():
         return read
-    held = await fetch_intent_or_empty(connection, read.unwrap().customer)
-    if held.is_err():
-        return held
-    return Ok(_report(held.unwrap(), read.unwrap(), str(file)))
+    current = await fetch_intent_or_empty(connection, read.unwrap().customer)
+    if current.is_err():
+        return current
+    return Ok(_report(current.unwrap(), read.unwrap(), str(file)))
 
 
-def _report(held: HeldIntent, intent: Intent, file: str) -> Report:
+def _report(current: VersionedIntent, intent: Intent, file: str) -> Report:
     lines = list(
         difflib.unified_diff(
-            intent_to_toml(held.intent).splitlines(),
+            intent_to_toml(current.intent).splitlines(),
             intent_to_toml(intent).splitlines(),
-            f"version {held.version}",
+            f"version {current.version}",
             file,
             lineterm="",
         )
     )
     content = {
         "customer": intent.customer,
-        "version": held.version,
+        "version": current.version,
         "is_same": not lines,
         "lines": lines,
     }
-    same = f"{intent.customer}: no difference to version {held.version}"
-    return Report(content, join_lines(lines) or same)
+    no_difference = f"{intent.customer}: no difference to version {current.version}"
+    return Report(content, join_lines(lines) or no_difference)
 
 
 __all__ = ["run"]
--- a/packages/pepperstair-cli/pepperstair_cli/commands/explain.py
+++ b/packages/pepperstair-cli/pepperstair_cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""`pepperstair explain`: why a daemon did what it did."""
+"""`pepperstair explain`: show the reasons for a daemon's decisions."""
 
 from __future__ import annotations
 
@@ -9,11 +9,18 @@
 
 from result import Result
 
-from ..asking import ask, path_of
 from ..connection import Connection
-from ..output import ExitCode, Refusal, Report, finish, join_lines, refuse_input
-from ..request_path import follow_request
-from ..showing import show_time
+from ..daemon_client import operation_path, send_request
+from ..formatting import format_time
+from ..output import (
+    CommandFailure,
+    ExitCode,
+    Report,
+    invalid_input,
+    join_lines,
+    print_result,
+)
+from ..request_trace import trace_request
 
 
 def run(
@@ -26,44 +33,44 @@
     request: str = "",
     connection: Connection | None = None,
 ) -> ExitCode:
-    """Show a daemon's decisions, where a route leads, or what a request met.
+    """Show a daemon's decisions, the destination of a route, or a request's log lines.
 
     Parameters
     ----------
     files
-        Logs of daemons, with `--request`.
+        Log files of daemons to search with `--request`.
     subject
-        VM, target, customer or route that the decisions are about; without it,
-        all that the daemon remembers.
+        VM, target, customer or route of the decisions; default: all recent decisions.
     customer
-        Customer whose configuration to explain instead.
+        Customer whose configuration to explain instead of decisions.
     route
-        Route of that customer; without it, all routes.
+        Route of that customer to explain as well; default: none.
     request
-        Id of a request whose way through the logs to show instead; no daemon is
-        asked.
+        Id of a request to trace through log files, without contacting a daemon.
     """
     if request or files:
         return _explain_request(request, files, subject or customer or route)
     if connection is None:
-        return finish(refuse_input("expected --at, or --request with logs"), "text")
+        return print_result(
+            invalid_input("expected --at, or --request with log files"), "text"
+        )
     if route and not customer or subject and customer:
         line = "expected --subject alone, or --customer with or without --route"
-        return finish(refuse_input(line), connection.output)
-    path = path_of("explain", subject=subject, customer=customer, route=route)
-    return finish(asyncio.run(_explain(path, connection)), connection.output)
+        return print_result(invalid_input(line), connection.output)
+    path = operation_path("explain", subject=subject, customer=customer, route=route)
+    return print_result(asyncio.run(_explain(path, connection)), connection.output)
 
 
 def _explain_request(request: str, files: tuple[Path, ...], other: str) -> ExitCode:
     if not request or not files or other:
-        line = "expected --request with at least one log, and no other option"
-        return finish(refuse_input(line), "text")
-    return finish(follow_request(request, files), "text")
+        line = "expected --request with at least one log file, and no other option"
+        return print_result(invalid_input(line), "text")
+    return print_result(trace_request(request, files), "text")
 
 
-async def _explain(path: str, connection: Connection) -> Result[Report, Refusal]:
-    asked = await ask(connection, "GET", path)
-    return asked.map(lambda content: Report(content, _text(content)))
+async def _explain(path: str, connection: Connection) -> Result[Report, CommandFailure]:
+    response = await send_request(connection, "GET", path)
+    return response.map(lambda content: Report(content, _text(content)))
 
 
 def _text(content: dict[str, Any]) -> str:
@@ -75,11 +82,11 @@
 def _iter_configuration(configuration: dict[str, Any]) -> Iterator[str]:
     yield (
         f"{configuration['customer']}: version {configuration['version']} in force, "
-        f"accepted {show_time(configuration['accepted_at_ms'])} by "
+        f"accepted {format_time(configuration['accepted_at_ms'])} by "
         f"{configuration['accepted_by']} (change {configuration['change_id']})"
     )
     if configuration.get("learnt_from"):
-        yield f"  learnt from {configuration['learnt_from']}"
+        yield f"  received from {configuration['learnt_from']}"
     if configuration["rejected"]:
         rejected = configuration["rejected"]
         yield f"  version {rejected['version']} was rejected: {rejected['cause']}"
@@ -105,7 +112,7 @@
             f"{name} {value:g}" for name, value in decision["figures"].items()
         )
         line = (
-            f"{show_time(decision['at_ms'])}  {decision['kind']} "
+            f"{format_time(decision['at_ms'])}  {decision['kind']} "
             f"{decision['subject']}: {decision['cause']}"
         )
         yield f"{line} ({figures})" if figures else line
--- a/packages/pepperstair-cli/pepperstair_cli/commands/history.py
+++ b/packages/pepperstair-cli/pepperstair_cli/commands/history.py
@@ -1,4 +1,4 @@
-"""`pepperstair history`: the changes of a customer that were accepted."""
+"""`pepperstair history`: list the accepted changes of a customer."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 from result import Result
 
-from ..asking import ask, path_of
 from ..connection import Connection
-from ..output import ExitCode, Refusal, Report, finish, join_lines
-from ..showing import show_time
+from ..daemon_client import operation_path, send_request
+from ..formatting import format_time
+from ..output import CommandFailure, ExitCode, Report, join_lines, print_result
 
 
 def run(customer: str, /, *, connection: Connection) -> ExitCode:
@@ -22,12 +22,16 @@
     customer
         Customer whose changes to list.
     """
-    return finish(asyncio.run(_history(customer, connection)), connection.output)
+    return print_result(asyncio.run(_history(customer, connection)), connection.output)
 
 
-async def _history(customer: str, connection: Connection) -> Result[Report, Refusal]:
-    asked = await ask(connection, "GET", path_of("history", customer))
-    return asked.map(lambda content: Report(content, _text(customer, content)))
+async def _history(
+    customer: str, connection: Connection
+) -> Result[Report, CommandFailure]:
+    response = await send_request(
+        connection, "GET", operation_path("history", customer)
+    )
+    return response.map(lambda content: Report(content, _text(customer, content)))
 
 
 def _text(customer: str, content: dict[str, Any]) -> str:
@@ -38,7 +42,7 @@
 def _iter_lines(changes: list[dict[str, Any]]) -> Iterator[str]:
     for change in changes:
         line = (
-            f"version {change['version']}  {show_time(change['accepted_at_ms'])}  "
+            f"version {change['version']}  {format_time(change['accepted_at_ms'])}  "
             f"by {change['accepted_by']}  change {change['change_id']}"
         )
         convergence_ms = change["convergence_ms"]
--- a/packages/pepperstair-cli/pepperstair_cli/commands/label.py
+++ b/packages/pepperstair-cli/pepperstair_cli/commands/label.py
@@ -15,7 +15,7 @@
 from ..changes import ChangeOptions, send_change
 from ..connection import Connection
 from ..documents import fetch_intent
-from ..output import ExitCode, Refusal, Report, finish, refuse_input
+from ..output import CommandFailure, ExitCode, Report, invalid_input, print_result
 
 _NO_OPTIONS = ChangeOptions()
 
@@ -29,28 +29,30 @@
     connection: Connection,
     options: ChangeOptions = _NO_OPTIONS,
 ) -> ExitCode:
-    """Change the labels of a workload, over those that it announces.
+    """Override the labels that a workload announces.
 
     Parameters
     ----------
     workload
         Name of the VM or target.
     changes
-        `key=value` sets a label, `key-` takes it away.
+        `key=value` sets a label, `key-` removes it.
     customer
-        Customer whose intent carries the change.
+        Customer whose intent to change.
     reset
-        Key whose announced label counts again; may be given more than once.
+        Key whose override to remove; repeatable.
     """
     parsed = [parse_label_edit(text) for text in changes]
-    wrong = [result.unwrap_err() for result in parsed if result.is_err()]
+    parse_errors = [result.unwrap_err() for result in parsed if result.is_err()]
     edits = [result.unwrap() for result in parsed if result.is_ok()]
     edits += [LabelEdit(key, None) for key in reset]
-    if wrong or not edits:
-        lines = wrong or ["expected a change such as key=value, key- or --reset key"]
-        return finish(refuse_input(*lines), connection.output)
-    done = asyncio.run(_label(workload, edits, customer, connection, options))
-    return finish(done, connection.output)
+    if parse_errors or not edits:
+        lines = parse_errors or [
+            "expected a change such as key=value, key- or --reset key"
+        ]
+        return print_result(invalid_input(*lines), connection.output)
+    outcome = asyncio.run(_label(workload, edits, customer, connection, options))
+    return print_result(outcome, connection.output)
 
 
 async def _label(
@@ -59,20 +61,20 @@
     customer: str,
     connection: Connection,
     options: ChangeOptions,
-) -> Result[Report, Refusal]:
-    """Edit the document in force, and refuse where another edit came first.
+) -> Result[Report, CommandFailure]:
+    """Edit the intent in force, and fail if another change was accepted meanwhile.
 
-    Two operators who label at the same time both start from the same version.
-    Without the version in the request the later one would undo the earlier
-    one's labels, which nobody would notice until calls went elsewhere.
+    Two operators who edit labels at the same time start from the same version.
+    Without `from_version` in the request, the later change would silently undo
+    the earlier one, and calls would go to the wrong targets.
     """
     fetched = await fetch_intent(connection, customer)
     if fetched.is_err():
         return fetched
-    held = fetched.unwrap()
-    intent = edit_labels(held.intent, workload, edits)
+    current = fetched.unwrap()
+    intent = edit_labels(current.intent, workload, edits)
     if options.from_version is None:
-        options = replace(options, from_version=held.version)
+        options = replace(options, from_version=current.version)
     return await send_change(connection, intent, options)
 
 
--- a/packages/pepperstair-cli/pepperstair_cli/commands/report_burn.py
+++ b/packages/pepperstair-cli/pepperstair_cli/commands/report_burn.py
@@ -1,4 +1,4 @@
-"""`pepperstair report burn`: error budgets and alerts over the fleet."""
+"""`pepperstair report burn`: show error budgets and alerts across the fleet."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 from ..connection import Address, Output, Token
 from ..fleet import collect_counts
-from ..output import ExitCode, Refusal, Report, finish, join_lines
-from ..showing import show_duration, show_percent
+from ..formatting import format_duration, format_percent
+from ..output import CommandFailure, ExitCode, Report, join_lines, print_result
 
 
 def run(
@@ -30,22 +30,25 @@
     at: Annotated[
         tuple[Address, ...],
         Parameter(
-            help="Operators' address of a daemon; may be given more than once.",
+            help="Operators' address of a daemon; repeatable.",
             negative="",
         ),
     ],
     token: Token = "",
     output: Output = "text",
 ) -> ExitCode:
-    """Show how each customer's objectives are met, over all members of the fleet.
+    """Show how each customer's objectives are met across the fleet.
 
-    Every member that the given daemons know is asked at the operators' address
-    that it advertises. Those that do not answer are named.
+    Requests the counts of every member known to the given daemons, at the
+    operators' address that the member advertises. The report lists the members
+    that do not answer.
     """
-    return finish(asyncio.run(_report(at, token)), output)
+    return print_result(asyncio.run(_report(at, token)), output)
 
 
-async def _report(addresses: tuple[str, ...], token: str) -> Result[Report, Refusal]:
+async def _report(
+    addresses: tuple[str, ...], token: str
+) -> Result[Report, CommandFailure]:
     collected = await collect_counts(addresses, token)
     if collected.is_err():
         return collected
@@ -55,13 +58,13 @@
 
 
 def _iter_lines(report: BurnReport) -> Iterator[str]:
-    n_asked = len(report.daemons) + len(report.missing)
-    yield f"covers {len(report.daemons)} of {n_asked} daemons"
+    n_daemons = len(report.daemons) + len(report.missing)
+    yield f"covers {len(report.daemons)} of {n_daemons} daemons"
     for vm in report.missing:
         yield f"  no answer from {vm}: its calls are not counted"
     for daemon in report.daemons:
-        lived = show_duration(daemon.lived_ms)
-        yield f"  {daemon.vm} has lived {lived}: earlier calls are not counted"
+        uptime = format_duration(daemon.lived_ms)
+        yield f"  {daemon.vm} has been up for {uptime}: earlier calls are not counted"
     if not report.customers:
         yield "no call and no change has been counted yet"
     for customer in report.customers:
@@ -73,17 +76,19 @@
     objectives = burn.objectives
     yield (
         f"{burn.customer}: {objectives.availability_percent:g}% of calls, changes in "
-        f"force within {show_duration(objectives.convergence_ms)}"
+        f"force within {format_duration(objectives.convergence_ms)}"
     )
     yield "  window   covered  priority     calls  available     late  burn rate"
     for window in burn.windows:
-        start = f"  {show_duration(window.window_ms):<7} {window.covered_percent:7.2f}%"
+        start = (
+            f"  {format_duration(window.window_ms):<7} {window.covered_percent:7.2f}%"
+        )
         yield f"{start}  urgent  {_priority_cells(window.urgent)}"
         yield f"{start}  normal  {_priority_cells(window.normal)}"
     yield (
-        "  budget left, by the calls counted: "
-        f"urgent {show_percent(burn.urgent_budget_left_percent)}, "
-        f"normal {show_percent(burn.normal_budget_left_percent)}"
+        "  error budget remaining, from counted calls: "
+        f"urgent {format_percent(burn.urgent_budget_left_percent)}, "
+        f"normal {format_percent(burn.normal_budget_left_percent)}"
     )
     yield from map(_alert_line, burn.alerts)
     yield _convergence_line(burn.convergence)
@@ -91,8 +96,8 @@
 
 def _priority_cells(burn: PriorityBurn) -> str:
     return (
-        f"{burn.counts.n_calls:>11}  {show_percent(burn.availability_percent):>9}"
-        f"  {show_percent(burn.late_percent):>7}  {burn.burn_rate:>9.2f}"
+        f"{burn.counts.n_calls:>11}  {format_percent(burn.availability_percent):>9}"
+        f"  {format_percent(burn.late_percent):>7}  {burn.burn_rate:>9.2f}"
     )
 
 
@@ -101,8 +106,8 @@
     state = "FIRING" if alert.is_firing else "quiet"
     return (
         f"  {rule.name} {alert.priority}: {state} ({alert.long_burn_rate:.2f} over "
-        f"{show_duration(rule.long_window_ms)}, {alert.short_burn_rate:.2f} over "
-        f"{show_duration(rule.short_window_ms)}, fires above {rule.threshold:g})"
+        f"{format_duration(rule.long_window_ms)}, {alert.short_burn_rate:.2f} over "
+        f"{format_duration(rule.short_window_ms)}, fires above {rule.threshold:g})"
     )
 
 
@@ -111,8 +116,8 @@
         return "  changes: none counted"
     return (
         f"  changes: {convergence.n_changes}, {convergence.n_late} late, "
-        f"median {show_duration(round(convergence.median_ms))}, "
-        f"slowest {show_duration(convergence.max_ms)}"
+        f"median {format_duration(round(convergence.median_ms))}, "
+        f"slowest {format_duration(convergence.max_ms)}"
     )
 
 
--- a/packages/pepperstair-cli/pepperstair_cli/commands/status.py
+++ b/packages/pepperstair-cli/pepperstair_cli/commands/status.py
@@ -1,4 +1,4 @@
-"""`pepperstair status`: what one daemon holds and sees."""
+"""`pepperstair status`: show the state of one daemon."""
 
 from __future__ import annotations
 
@@ -8,24 +8,28 @@
 
 from result import Result
 
-from ..asking import ask, path_of
 from ..connection import Connection
-from ..output import ExitCode, Refusal, Report, finish, join_lines
+from ..daemon_client import operation_path, send_request
+from ..output import CommandFailure, ExitCode, Report, join_lines, print_result
 
 
 def run(*, connection: Connection) -> ExitCode:
     """Show a daemon's readiness, versions, members and counters."""
-    return finish(asyncio.run(_status(connection)), connection.output)
+    return print_result(asyncio.run(_status(connection)), connection.output)
 
 
-async def _status(connection: Connection) -> Result[Report, Refusal]:
-    asked = await ask(connection, "GET", path_of("status"))
-    return asked.map(lambda content: Report(content, join_lines(_iter_lines(content))))
+async def _status(connection: Connection) -> Result[Report, CommandFailure]:
+    response = await send_request(connection, "GET", operation_path("status"))
+    return response.map(
+        lambda content: Report(content, join_lines(_iter_lines(content)))
+    )
 
 
 def _iter_lines(content: dict[str, Any]) -> Iterator[str]:
-    reached = f", reached by {content['reached_by']}" if content["reached_by"] else ""
-    yield f"{content['vm']}: {'ready' if content['ready'] else 'not ready'}{reached}"
+    reached_by = (
+        f", reached by {content['reached_by']}" if content["reached_by"] else ""
+    )
+    yield f"{content['vm']}: {'ready' if content['ready'] else 'not ready'}{reached_by}"
     yield "versions in force"
     for customer, version in content["versions"].items():
         yield f"  {customer} {version}"
--- a/packages/pepperstair-cli/pepperstair_cli/commands/wait.py
+++ b/packages/pepperstair-cli/pepperstair_cli/commands/wait.py
@@ -9,7 +9,7 @@
 from ..changes import wait_until_in_force
 from ..connection import Connection
 from ..documents import fetch_intent
-from ..output import ExitCode, Refusal, Report, finish
+from ..output import CommandFailure, ExitCode, Report, print_result
 
 
 def run(
@@ -27,22 +27,22 @@
     customer
         Customer whose version to wait for.
     version
-        Version to wait for; without it, the one in force at the asked daemon.
+        Version to wait for; default: the version in force at the queried daemon.
     timeout_ms
-        Time to wait at the most; afterwards the exit code is 3.
+        Longest time to wait; when it is exceeded, the exit code is 3.
     """
-    waited = asyncio.run(_wait(customer, version, timeout_ms, connection))
-    return finish(waited, connection.output)
+    wait_result = asyncio.run(_wait(customer, version, timeout_ms, connection))
+    return print_result(wait_result, connection.output)
 
 
 async def _wait(
     customer: str, version: int | None, timeout_ms: int, connection: Connection
-) -> Result[Report, Refusal]:
+) -> Result[Report, CommandFailure]:
     if version is None:
-        held = await fetch_intent(connection, customer)
-        if held.is_err():
-            return held
-        version = held.unwrap().version
+        current = await fetch_intent(connection, customer)
+        if current.is_err():
+            return current
+        version = current.unwrap().version
     return await wait_until_in_force(connection, customer, version, timeout_ms)
 
 
--- a/packages/pepperstair-cli/pepperstair_cli/connection.py
+++ b/packages/pepperstair-cli/pepperstair_cli/connection.py
@@ -1,4 +1,4 @@
-"""The options of every command that talks to a daemon."""
+"""Options of every command that sends requests to a daemon."""
 
 from __future__ import annotations
 
@@ -15,9 +15,12 @@
 
 
 def check_address(type_: type, address: str) -> None:
-    """Refuse an address that is no IP number and port, as cyclopts expects."""
+    """Raise ValueError unless an address is an IP address and port.
+
+    The signature is that of a cyclopts validator.
+    """
     if parse_address(address) is None:
-        raise ValueError("expected an IP number and port such as 127.0.0.1:8001")
+        raise ValueError("expected an IP address and port such as 127.0.0.1:8001")
 
 
 Address = Annotated[str, Parameter(validator=check_address)]
@@ -25,13 +28,13 @@
     str,
     Parameter(env_var=TOKEN_VARIABLE, help="Bearer token of the operators' interface."),
 ]
-Output = Annotated[OutputFormat, Parameter(help="Text for people, JSON for programs.")]
+Output = Annotated[OutputFormat, Parameter(help="Text for people, JSON for scripts.")]
 
 
 @Parameter(name="*")
 @dataclass(frozen=True, slots=True)
 class Connection:
-    """Which daemon to ask, and how to print what it said."""
+    """The daemon to send requests to, and the format of the printed answer."""
 
     at: Annotated[Address, Parameter(help="Operators' address of any daemon.")]
     token: Token = ""
--- a/packages/pepperstair-cli/pepperstair_cli/documents.py
+++ b/packages/pepperstair-cli/pepperstair_cli/documents.py
@@ -1,4 +1,4 @@
-"""Intent documents as files, as TOML text and as a daemon holds them."""
+"""Reads intent documents from files and daemons, and writes them as TOML."""
 
 from __future__ import annotations
 
@@ -18,104 +18,110 @@
     read_intent,
 )
 
-from .asking import ask, path_of
-from .output import refuse_faults, refuse_input
+from .daemon_client import operation_path, send_request
+from .output import invalid_document, invalid_input
 
 if TYPE_CHECKING:
     from pathlib import Path
 
     from .connection import Connection
-    from .output import Refusal
+    from .output import CommandFailure
 
 
-# Packages that know the documents of a platform name their reader in this group.
+# Entry point group in which packages register readers of platform documents.
 READERS_GROUP: Final = "pepperstair.document_readers"
-_FOREIGN_SUFFIX: Final = ".json"
+_PLATFORM_DOCUMENT_SUFFIX: Final = ".json"
 
 
 @dataclass(frozen=True, slots=True)
-class HeldIntent:
-    """A customer's intent in force at a daemon; version 0 is none yet."""
+class VersionedIntent:
+    """A customer's intent in force at a daemon, with its version.
+
+    Version 0 means that the customer has no intent yet.
+    """
 
     version: int
     intent: Intent
 
 
-def read_text(file: Path) -> Result[str, Refusal]:
-    """Read a text file; an unreadable one is bad input."""
+def read_text(file: Path) -> Result[str, CommandFailure]:
+    """Read a UTF-8 text file; a file that cannot be read is bad input."""
     try:
         return Ok(file.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
-        return refuse_input(f"{file}: expected a readable TOML file ({error})")
+        return invalid_input(f"{file}: expected a readable TOML file ({error})")
 
 
-def is_foreign(file: Path) -> bool:
-    """Return whether a file holds a document in the form of a platform."""
-    return file.suffix == _FOREIGN_SUFFIX
+def is_platform_document(file: Path) -> bool:
+    """Return whether a file holds a document in the format of the platform."""
+    return file.suffix == _PLATFORM_DOCUMENT_SUFFIX
 
 
-def read_intent_file(file: Path) -> Result[Intent, Refusal]:
-    """Read an intent document, or name every fault in it.
+def read_intent_file(file: Path) -> Result[Intent, CommandFailure]:
+    """Read an intent document, or list every fault in it.
 
-    A JSON file is one in the form of the platform that the daemons run on.
+    A JSON file is read as a document in the format of the platform that the
+    daemons run on.
     """
     text = read_text(file)
     if text.is_err():
         return text
-    if is_foreign(file):
-        return _read_foreign(file, text.unwrap().encode())
+    if is_platform_document(file):
+        return _read_platform_document(file, text.unwrap().encode())
     parsed = parse_intent_toml(text.unwrap())
     if parsed.is_err():
-        return refuse_faults(str(file), parsed.unwrap_err())
+        return invalid_document(str(file), parsed.unwrap_err())
     return Ok(parsed.unwrap())
 
 
-def _read_foreign(file: Path, data: bytes) -> Result[Intent, Refusal]:
-    """Read a platform's document with the first reader that is installed."""
-    found = next(iter(entry_points(group=READERS_GROUP)), None)
-    if found is None:
-        return refuse_input(f"{file}: no reader of such documents is installed")
-    reader: DocumentReader = found.load()
+def _read_platform_document(file: Path, data: bytes) -> Result[Intent, CommandFailure]:
+    """Read a platform document with the first installed reader."""
+    entry_point = next(iter(entry_points(group=READERS_GROUP)), None)
+    if entry_point is None:
+        return invalid_input(f"{file}: no reader for platform documents is installed")
+    reader: DocumentReader = entry_point.load()
     read = reader(data)
     if read.is_err():
-        return refuse_faults(str(file), read.unwrap_err())
+        return invalid_document(str(file), read.unwrap_err())
     return Ok(read.unwrap().intent)
 
 
 def intent_to_toml(intent: Intent) -> str:
-    """Return a document that `parse_intent_toml` reads back unchanged."""
+    """Return an intent as TOML that `parse_intent_toml` parses to the same intent."""
     return tomli_w.dumps(intent_to_table(intent))
 
 
 async def fetch_intent(
     connection: Connection, customer: str
-) -> Result[HeldIntent, Refusal]:
+) -> Result[VersionedIntent, CommandFailure]:
     """Fetch a customer's intent in force at the daemon."""
-    asked = await ask(connection, "GET", path_of("intent", customer))
-    if asked.is_err():
-        return asked
-    content = asked.unwrap()
+    response = await send_request(connection, "GET", operation_path("intent", customer))
+    if response.is_err():
+        return response
+    content = response.unwrap()
     read = read_intent(content["intent"])
     if read.is_err():
-        return refuse_faults(customer, read.unwrap_err())
-    return Ok(HeldIntent(content["version"], read.unwrap()))
+        return invalid_document(customer, read.unwrap_err())
+    return Ok(VersionedIntent(content["version"], read.unwrap()))
 
 
 async def fetch_intent_or_empty(
     connection: Connection, customer: str
-) -> Result[HeldIntent, Refusal]:
-    """Fetch a customer's intent; a customer without one has an empty one."""
-    held = await fetch_intent(connection, customer)
-    if held.is_err() and held.unwrap_err().lines[0].startswith(ErrorKind.NOT_FOUND):
-        return Ok(HeldIntent(0, Intent(customer)))
-    return held
+) -> Result[VersionedIntent, CommandFailure]:
+    """Fetch a customer's intent, or return an empty one if the customer has none."""
+    current = await fetch_intent(connection, customer)
+    if current.is_err() and current.unwrap_err().lines[0].startswith(
+        ErrorKind.NOT_FOUND
+    ):
+        return Ok(VersionedIntent(0, Intent(customer)))
+    return current
 
 
 __all__ = [
-    "HeldIntent",
+    "VersionedIntent",
     "fetch_intent",
     "fetch_intent_or_empty",
-    "is_foreign",
+    "is_platform_document",
     "intent_to_toml",
     "read_intent_file",
     "read_text",
--- a/packages/pepperstair-cli/pepperstair_cli/fleet.py
+++ b/packages/pepperstair-cli/pepperstair_cli/fleet.py
@@ -1,4 +1,4 @@
-"""Asking every member of the fleet for its counts."""
+"""Collects the call counts of every member of the fleet."""
 
 from __future__ import annotations
 
@@ -12,19 +12,22 @@
 from pepperstair_core.burn import DaemonCounts, read_counts
 from pepperstair_core.config import parse_address
 
-from .asking import ask, path_of
 from .connection import Connection
-from .output import Refusal
+from .daemon_client import operation_path, send_request
+from .output import CommandFailure
 
-_N_ASKED_AT_ONCE: Final = 32
-# A frozen member answers nothing, and many of them must not hold up the report.
+_N_REQUESTS_IN_FLIGHT_MAX: Final = 32
+# A frozen member never answers, and many frozen members must not delay the report.
 _MEMBER_TIMEOUT_MS: Final = 2000
-_GONE_STATES: Final = frozenset({"gone", "left"})
+_INACTIVE_STATES: Final = frozenset({"gone", "left"})
 
 
 @dataclass(frozen=True, slots=True)
 class FleetCounts:
-    """The counts of the daemons that answered, and the VMs of the others."""
+    """Counts of the daemons that answered, and the daemons that did not.
+
+    `missing` holds VM names, or addresses for daemons whose status request failed.
+    """
 
     daemons: tuple[DaemonCounts, ...]
     missing: tuple[str, ...]
@@ -32,62 +35,67 @@
 
 async def collect_counts(
     addresses: Iterable[str], token: str
-) -> Result[FleetCounts, Refusal]:
-    """Ask the given daemons for the members, and each member for its counts."""
-    given = [Connection(address, token) for address in addresses]
-    answers = await asyncio.gather(*(_ask_status(each) for each in given))
-    asked = list(zip(given, answers, strict=True))
+) -> Result[FleetCounts, CommandFailure]:
+    """Fetch the member lists of the given daemons, then the counts of each member."""
+    connections = [Connection(address, token) for address in addresses]
+    answers = await asyncio.gather(*(_fetch_status(each) for each in connections))
+    responses = list(zip(connections, answers, strict=True))
     if all(answer.is_err() for answer in answers):
         return Err(answers[0].unwrap_err())
-    silent = [connection.at for connection, answer in asked if answer.is_err()]
-    statuses = [(each, answer.unwrap()) for each, answer in asked if answer.is_ok()]
-    known = {status["vm"]: connection for connection, status in statuses}
+    unreachable = [connection.at for connection, answer in responses if answer.is_err()]
+    statuses = [(each, answer.unwrap()) for each, answer in responses if answer.is_ok()]
+    connections_by_vm = {status["vm"]: connection for connection, status in statuses}
     for _, status in statuses:
         for vm, address in _iter_members(status):
-            known.setdefault(vm, Connection(address, token))
-    return Ok(await _collect(known, silent))
+            connections_by_vm.setdefault(vm, Connection(address, token))
+    return Ok(await _collect(connections_by_vm, unreachable))
 
 
-async def _ask_status(connection: Connection) -> Result[Any, Refusal]:
-    return await ask(connection, "GET", path_of("status"))
+async def _fetch_status(connection: Connection) -> Result[Any, CommandFailure]:
+    return await send_request(connection, "GET", operation_path("status"))
 
 
 def _iter_members(status: dict[str, Any]) -> Iterator[tuple[str, str]]:
-    """Yield each member that should answer, with its advertised address."""
+    """Yield the VM and advertised operators' address of each active member."""
     for member in status["members"]:
-        if member["state"] not in _GONE_STATES:
+        if member["state"] not in _INACTIVE_STATES:
             yield member["vm"], member["operators_address"]
 
 
-async def _collect(known: dict[str, Connection], silent: list[str]) -> FleetCounts:
-    limit = asyncio.Semaphore(_N_ASKED_AT_ONCE)
-    found = await asyncio.gather(
-        *(_fetch_counts(vm, connection, limit) for vm, connection in known.items())
+async def _collect(
+    connections_by_vm: dict[str, Connection], unreachable: list[str]
+) -> FleetCounts:
+    limit = asyncio.Semaphore(_N_REQUESTS_IN_FLIGHT_MAX)
+    results = await asyncio.gather(
+        *(
+            _fetch_counts(vm, connection, limit)
+            for vm, connection in connections_by_vm.items()
+        )
     )
-    daemons = tuple(counts for counts in found if counts is not None)
+    daemons = tuple(counts for counts in results if counts is not None)
     answered = {counts.vm for counts in daemons}
-    missing = sorted(vm for vm in known if vm not in answered)
-    return FleetCounts(daemons, (*silent, *missing))
+    missing = sorted(vm for vm in connections_by_vm if vm not in answered)
+    return FleetCounts(daemons, (*unreachable, *missing))
 
 
 async def _fetch_counts(
     vm: str, connection: Connection, limit: asyncio.Semaphore
 ) -> DaemonCounts | None:
-    """Fetch one member's counts, None where it does not answer as itself.
+    """Return one member's counts, or None unless the member itself answers.
 
-    An advertised loopback address leads to whatever runs on the operator's own
-    machine: its counts would be taken for the member's, and the report would
-    count one daemon twice and hide another.
+    An advertised loopback address leads to the operator's own machine. Counts of
+    a daemon there would be attributed to the member, and the report would count
+    one daemon twice and omit another.
     """
     if parse_address(connection.at) is None:
         return None
     async with limit:
-        asked = await ask(
-            connection, "GET", path_of("burn"), timeout_ms=_MEMBER_TIMEOUT_MS
+        response = await send_request(
+            connection, "GET", operation_path("burn"), timeout_ms=_MEMBER_TIMEOUT_MS
         )
-    if asked.is_err():
+    if response.is_err():
         return None
-    read = read_counts(asked.unwrap())
+    read = read_counts(response.unwrap())
     counts = read.ok()
     return counts if counts is not None and counts.vm == vm else None
 
--- a/packages/pepperstair-cli/pepperstair_cli/output.py
+++ b/packages/pepperstair-cli/pepperstair_cli/output.py
@@ -1,4 +1,4 @@
-"""What every command ends with: a report or a refusal, and the exit code."""
+"""Results of commands: a report or a failure, and the exit code."""
 
 from __future__ import annotations
 
@@ -19,63 +19,68 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended."""
+    """Exit code of a command."""
 
-    DONE = 0
-    REFUSED = 1
+    SUCCESS = 0
+    FAILED = 1
     BAD_INPUT = 2
     OUTCOME_UNKNOWN = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a command found or did, for programs and for people."""
+    """Result of a successful command, as JSON content and as text."""
 
     content: Any
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
-    """Why a command did not do its work: one line each, and the exit code."""
+class CommandFailure:
+    """Reasons why a command failed, one line each, and its exit code."""
 
     lines: tuple[str, ...]
-    exit_code: ExitCode = ExitCode.REFUSED
+    exit_code: ExitCode = ExitCode.FAILED
 
 
-def finish(ended: Result[Report, Refusal], output: OutputFormat) -> ExitCode:
-    """Print a report on standard output or a refusal on standard error."""
-    if ended.is_err():
-        refusal = ended.unwrap_err()
-        print("\n".join(refusal.lines), file=sys.stderr)
-        return refusal.exit_code
-    report = ended.unwrap()
+def print_result(
+    result: Result[Report, CommandFailure], output: OutputFormat
+) -> ExitCode:
+    """Print a report to standard output or a failure to standard error.
+
+    Returns the exit code of the command.
+    """
+    if result.is_err():
+        failure = result.unwrap_err()
+        print("\n".join(failure.lines), file=sys.stderr)
+        return failure.exit_code
+    report = result.unwrap()
     text = json.dumps(report.content, indent=2) if output == "json" else report.text
     print(text, flush=True)
-    return ExitCode.DONE
+    return ExitCode.SUCCESS
 
 
-def refuse_input(*lines: str) -> Err[Refusal]:
-    """Return a refusal of what the operator gave."""
-    return Err(Refusal(lines, ExitCode.BAD_INPUT))
+def invalid_input(*lines: str) -> Err[CommandFailure]:
+    """Return a failure for invalid operator input."""
+    return Err(CommandFailure(lines, ExitCode.BAD_INPUT))
 
 
-def refuse_faults(name: str, faults: Iterable[Fault]) -> Err[Refusal]:
-    """Return a refusal with one line for each fault of a document."""
-    return refuse_input(*(f"{name}: {fault}" for fault in faults))
+def invalid_document(name: str, faults: Iterable[Fault]) -> Err[CommandFailure]:
+    """Return a failure with one line for each fault of a document."""
+    return invalid_input(*(f"{name}: {fault}" for fault in faults))
 
 
 def join_lines(lines: Iterable[str]) -> str:
-    """Return lines as one text."""
+    """Return lines joined by newlines."""
     return "\n".join(lines)
 
 
 __all__ = [
     "ExitCode",
-    "Refusal",
+    "CommandFailure",
     "Report",
-    "finish",
+    "print_result",
     "join_lines",
-    "refuse_faults",
-    "refuse_input",
+    "invalid_document",
+    "invalid_input",
 ]
--- a/packages/pepperstair-cli/pepperstair_cli/request_path.py
+++ b/packages/pepperstair-cli/pepperstair_cli/request_trace.py
@@ -1,4 +1,4 @@
-"""The way of one request through the logs of several daemons."""
+"""Traces one request through the logs of several daemons."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 from result import Err, Ok, Result
 
 from .documents import read_text
-from .output import Refusal, Report, join_lines
+from .output import CommandFailure, Report, join_lines
 
-# What every line has; the rest of a line is what decided the event.
-_COMMON = frozenset({"event", "vm", "timestamp", "level", "request_id"})
+# Fields of every log line; the other fields are the details of the event.
+_COMMON_FIELDS = frozenset({"event", "vm", "timestamp", "level", "request_id"})
 
 
-def follow_request(request_id: str, files: Iterable[Path]) -> Result[Report, Refusal]:
-    """Return every line about a request, the oldest first.
+def trace_request(
+    request_id: str, files: Iterable[Path]
+) -> Result[Report, CommandFailure]:
+    """Return every log line about a request, oldest first.
 
-    A request that the logs don't mention is a refusal that says so: it went
-    smoothly and was not one of the few that are logged all the same, or its
-    lines are in other files.
+    A request without any line is a failure. Either it succeeded and was not one
+    of the few successful requests that are logged, or its lines are in other files.
     """
     found: list[dict[str, Any]] = []
     for file in files:
@@ -30,13 +31,15 @@
             return read
         found += iter_events(read.unwrap(), request_id)
     if not found:
-        return Err(Refusal((f"{request_id}: no line in these logs",)))
+        return Err(CommandFailure((f"{request_id}: not found in these logs",)))
     found.sort(key=lambda event: str(event.get("timestamp", "")))
-    return Ok(Report(found, join_lines(map(_show, found))))
+    return Ok(Report(found, join_lines(map(_format_event, found))))
 
 
 def iter_events(text: str, request_id: str) -> Iterator[dict[str, Any]]:
-    """Yield the events about a request; what else stands in a log is passed over.
+    """Yield the log events about a request.
+
+    Lines that are not JSON objects or belong to other requests are skipped.
 
     >>> log = '12.5 vm-1 {"event": "x", "request_id": "a"}'
     >>> [event["event"] for event in iter_events(log, "a")]
@@ -54,16 +57,18 @@
             yield event
 
 
-def _show(event: dict[str, Any]) -> str:
-    grounds = ", ".join(
-        f"{key} {_shown(value)}" for key, value in event.items() if key not in _COMMON
+def _format_event(event: dict[str, Any]) -> str:
+    details = ", ".join(
+        f"{key} {_format_value(value)}"
+        for key, value in event.items()
+        if key not in _COMMON_FIELDS
     )
     when, vm = event.get("timestamp", "?"), event.get("vm", "?")
-    return f"{when}  {vm}  {event.get('event', '?')}: {grounds}"
+    return f"{when}  {vm}  {event.get('event', '?')}: {details}"
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return value if isinstance(value, str) else json.dumps(value)
 
 
-__all__ = ["follow_request", "iter_events"]
+__all__ = ["trace_request", "iter_events"]
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line against a daemon and the platform stand-in, as processes."""
+"""The command line with a daemon and the platform stand-in as processes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def command(capsys):
-    """Return a function that runs a command: its exit code, output and errors."""
+    """Return a function that runs a command and returns its code, output and errors."""
 
     def call(*arguments: object) -> tuple[ExitCode, str, str]:
         capsys.readouterr()
@@ -47,17 +47,17 @@
 
 
 def version_of(command, at: str) -> int:
-    """Return the version of lantern in force."""
+    """Return the version of the customer `lantern` in force."""
     return json.loads(command("status", "--at", at, "--output", "json")[1])["versions"][
         "lantern"
     ]
 
 
-def test_get_prints_what_apply_takes_back_unchanged(command, at, tmp_path):
+def test_get_prints_a_document_that_apply_accepts_unchanged(command, at, tmp_path):
     file = tmp_path / "held.toml"
     file.write_text(command("get", "lantern", "--at", at)[1])
     code, out, _ = command("diff", file, "--at", at)
-    assert code is ExitCode.DONE
+    assert code is ExitCode.SUCCESS
     assert "no difference" in out
 
 
@@ -69,7 +69,7 @@
     assert "+timeout_ms = 2500" in out
 
 
-def test_labels_are_set_taken_away_and_reset(command, at):
+def test_labels_are_set_removed_and_reset(command, at):
     arguments = ("--customer", "lantern", "--at", at)
     assert command("label", "ledger-1", "canary=yes", "old-", *arguments)[0] == 0
     held = json.loads(command("get", "lantern", "--at", at, "--output", "json")[1])
@@ -82,17 +82,17 @@
     assert held["intent"]["label_overrides"] == []
 
 
-def test_operators_who_race_are_told_and_undo_nothing(command, at):
+def test_concurrent_change_from_the_same_version_is_a_conflict(command, at):
     """Two operators start from the same version and both send a change.
 
-    The later one would undo the labels of the earlier one, and calls would go
-    to the wrong targets without an error anywhere.
+    If both were accepted, the later change would undo the labels of the earlier
+    one, and calls would go to the wrong targets without any error.
     """
     newest = version_of(command, at)
     late = ("--from-version", newest, "--customer", "lantern", "--at", at)
-    assert command("label", "ledger-1", "a=b", *late)[0] is ExitCode.DONE
+    assert command("label", "ledger-1", "a=b", *late)[0] is ExitCode.SUCCESS
     code, _, err = command("label", "ledger-1", "c=d", *late)
-    assert code is ExitCode.REFUSED
+    assert code is ExitCode.FAILED
     assert err.startswith("conflict: ")
     assert len(err.splitlines()) == 1
     assert version_of(command, at) == newest + 1
@@ -102,20 +102,20 @@
 
 
 def test_same_change_id_commits_once(command, at, tmp_path):
-    """The answer to a change is lost, and the operator sends it again."""
+    """The answer to a change is lost, and the operator retries with the same id."""
     file = tmp_path / "again.toml"
     file.write_text(EXAMPLE.read_text().replace("2000", "1900"))
     arguments = ("apply", file, "--change-id", "again-1", "--at", at)
     first, second = command(*arguments), command(*arguments)
     assert first == second
-    assert first[0] is ExitCode.DONE
+    assert first[0] is ExitCode.SUCCESS
 
 
-def test_named_change_is_never_denied_without_looking(command, fleet, at):
-    """An answer is lost and the platform goes out before the operator asks again.
+def test_retried_change_during_an_outage_has_an_unknown_outcome(command, fleet, at):
+    """The answer is lost, and the platform fails before the operator retries.
 
-    At a daemon that knows nothing of the first attempt the change must be told
-    as unknown: after "not accepted" the operator would make it anew.
+    A daemon that did not see the first attempt must report an unknown outcome.
+    After "not accepted" the operator would make the change again.
     """
     apply = ("apply", EXAMPLE, "--at", at)
     fleet.set_platform_faults(mode="outage")
@@ -124,7 +124,7 @@
         named = command(*apply, "--change-id", "sent-elsewhere")
     finally:
         fleet.set_platform_faults()
-    assert first[0] is ExitCode.REFUSED
+    assert first[0] is ExitCode.FAILED
     assert named[0] is ExitCode.OUTCOME_UNKNOWN
 
 
@@ -149,7 +149,7 @@
     assert len(err.splitlines()) == 1
 
 
-def test_check_names_every_fault(command, tmp_path):
+def test_check_lists_every_fault(command, tmp_path):
     file = tmp_path / "bad.toml"
     file.write_text('customer = "a b"\nroutes = 3\n')
     code, _, err = command("check", file)
@@ -160,11 +160,11 @@
     ]
 
 
-def test_check_reads_the_document_of_the_platform(command, tmp_path):
-    """An operator checks what is about to be written to the platform's store."""
+def test_check_reads_a_platform_document(command, tmp_path):
+    """An operator checks a document before writing it to the platform's store."""
     file = tmp_path / "config.json"
     file.write_bytes(document(7))
-    assert command("check", file)[0] is ExitCode.DONE
+    assert command("check", file)[0] is ExitCode.SUCCESS
     broken = rule("logs", "/logs", "ledger", action={"timeout_ms": 0})
     file.write_bytes(document(7, broken))
     code, _, err = command("check", file)
@@ -172,7 +172,7 @@
     assert err.startswith(f"{file}: listeners[0].policy[0]")
 
 
-def test_check_says_when_no_reader_of_the_document_is_installed(
+def test_check_reports_a_missing_reader_for_platform_documents(
     command, tmp_path, monkeypatch
 ):
     monkeypatch.setattr(documents, "READERS_GROUP", "pepperstair.nothing")
@@ -180,21 +180,24 @@
     file.write_bytes(document(7))
     code, _, err = command("check", file)
     assert code is ExitCode.BAD_INPUT
-    assert err == f"{file}: no reader of such documents is installed\n"
+    assert err == f"{file}: no reader for platform documents is installed\n"
 
 
-def test_daemon_that_is_away_refuses_reads_and_leaves_changes_unsent(command):
+def test_reads_and_changes_fail_if_the_daemon_is_unreachable(command):
     address = f"127.0.0.1:{free_port()}"
     for arguments in (("status",), ("apply", EXAMPLE)):
         code, _, err = command(*arguments, "--at", address)
-        assert code is ExitCode.REFUSED
+        assert code is ExitCode.FAILED
         assert err.startswith(f"peer_unreachable: {address}: ")
 
 
-def test_address_of_something_else_is_one_clear_line(command, fleet):
-    """An operator gives the callers' address; it used to end in a traceback."""
+def test_address_without_an_operators_interface_is_reported(command, fleet):
+    """An operator gives the callers' address, whose answer is not JSON.
+
+    Parsing that answer must not end in a traceback.
+    """
     code, _, err = command("status", "--at", fleet.daemons[0].callers)
-    assert code is ExitCode.REFUSED
+    assert code is ExitCode.FAILED
     assert "no operators' interface" in err
 
 
@@ -212,10 +215,10 @@
     ],
 )
 def test_malformed_requests_are_refused_and_change_nothing(command, at, path, body):
-    """A version that could not be read used to count as none.
+    """A malformed version must not be treated as a missing one.
 
-    The change was then made over whatever was newest, and an operator's script
-    with a slip in it undid another operator's work.
+    Otherwise the change replaces the newest version, and a faulty script of one
+    operator undoes another operator's change.
     """
     newest = version_of(command, at)
     body = body or EXAMPLE.read_bytes()
@@ -230,8 +233,8 @@
 def test_names_are_percent_encoded(command, at, tmp_path):
     file = tmp_path / "slash.toml"
     file.write_text('customer = "a/b"\n')
-    assert command("apply", file, "--at", at)[0] is ExitCode.DONE
-    assert command("get", "a/b", "--at", at)[0] is ExitCode.DONE
+    assert command("apply", file, "--at", at)[0] is ExitCode.SUCCESS
+    assert command("get", "a/b", "--at", at)[0] is ExitCode.SUCCESS
 
 
 def test_change_is_awaited_listed_and_explained(command, fleet, at, tmp_path):
@@ -239,10 +242,10 @@
     file.write_text(EXAMPLE.read_text().replace("2000", "2200"))
     change = ("--change-id", "awaited-1", "--wait")
     code, out, _ = command("apply", file, *change, "--at", at)
-    assert code is ExitCode.DONE
+    assert code is ExitCode.SUCCESS
     assert "in force everywhere" in out
     newest = version_of(command, at)
-    assert command("wait", "lantern", "--at", at)[0] is ExitCode.DONE
+    assert command("wait", "lantern", "--at", at)[0] is ExitCode.SUCCESS
     listed = command("history", "lantern", "--at", at)[1].splitlines()[-1]
     assert listed.startswith(f"version {newest} ")
     assert "change awaited-1" in listed
@@ -252,20 +255,20 @@
     assert "no such route" in command("explain", *route, "nowhere", "--at", at)[1]
 
 
-def test_version_that_never_comes_is_an_unknown_outcome(command, at):
-    """An operator waits for a version that nobody has accepted."""
+def test_wait_for_a_version_never_accepted_has_an_unknown_outcome(command, at):
+    """An operator waits for a version that no daemon has accepted."""
     wanted = ("--version", "999", "--timeout-ms", "200")
     code, _, err = command("wait", "lantern", *wanted, "--at", at)
     assert code is ExitCode.OUTCOME_UNKNOWN
     assert "version 999 is not in force on vm-1" in err
 
 
-def test_wait_refuses_a_version_that_can_not_be_read(at):
+def test_wait_rejects_a_malformed_version(at):
     assert fetch(at, "GET", "/v1/wait/lantern?version=abc")[0] == 400
 
 
 def test_burn_report_counts_served_and_failed_calls(command, fleet, at):
-    """Calls to a service without targets fail, and the report must show them."""
+    """Calls to a service without targets fail, and the report must count them."""
     callers = fleet.daemons[0].callers
     wait_until(lambda: fetch(callers, "POST", "/ledger/award")[0] == 503, "a failure")
     fleet.start_target(fleet.daemons[0], "ledger", "--name", "ledger-1")
@@ -279,26 +282,26 @@
     assert firing == ["page-fast", "page-slow", "ticket"]
 
 
-def test_burn_report_names_members_that_do_not_answer(command, fleet, at):
-    """A daemon freezes, then dies: its calls are missing from the sums.
+def test_burn_report_lists_members_that_do_not_answer(command, fleet, at):
+    """A daemon freezes, then is killed: its calls are missing from the totals.
 
-    A report that did not say so would show a full budget, and one that waited
-    for the frozen daemon would not come at all.
+    A report that omitted this would show a full error budget, and one that waited
+    for the frozen daemon would never finish.
     """
-    silent = fleet.start_daemon("vm-2", "pos-b", "{}")
+    unresponsive = fleet.start_daemon("vm-2", "pos-b", "{}")
     report = ("report", "burn", "--at", at)
     wait_until(lambda: "covers 2 of 2" in command(*report)[1], "both daemons")
     for number in (signal.SIGSTOP, signal.SIGKILL):
-        silent.process.send_signal(number)
+        unresponsive.process.send_signal(number)
         code, out, _ = command(*report)
-        assert code is ExitCode.DONE
+        assert code is ExitCode.SUCCESS
         assert "covers 1 of 2 daemons" in out
         assert "no answer from vm-2" in out
-    silent.process.wait()
+    unresponsive.process.wait()
 
 
 def test_operators_without_the_token_are_refused(command, fleet, monkeypatch):
-    """Anybody who reaches the port could change every customer's routing."""
+    """Without the token, anyone who reaches the port could change all routing."""
     settings = fleet.folder / "guarded.toml"
     operators = f"127.0.0.1:{free_port()}"
     text = fleet.daemons[0].settings.read_text()
@@ -311,14 +314,14 @@
     fleet.spawn_daemon(settings)
     wait_until(lambda: fetch(operators, "GET", "/v1/ready")[0] == 401, "guarded")
     code, _, err = command("status", "--at", operators)
-    assert code is ExitCode.REFUSED
+    assert code is ExitCode.FAILED
     assert err.startswith("unauthorized: ")
     monkeypatch.setenv("PEPPERSTAIR_TOKEN", "x")
-    assert command("status", "--at", operators)[0] is ExitCode.DONE
+    assert command("status", "--at", operators)[0] is ExitCode.SUCCESS
 
 
-def test_reader_that_leaves_a_pipe_gets_no_traceback(at):
-    """`pepperstair get lantern | head -1` ends the pipe before all was read."""
+def test_closed_pipe_causes_no_traceback(at):
+    """`pepperstair get lantern | head -1` closes the pipe before reading everything."""
     line = f"{SCRIPTS / 'pepperstair'} get lantern --at {at} | true"
     done = subprocess.run(
         ["bash", "-c", f"set -o pipefail; {line}"], capture_output=True, check=False
@@ -326,7 +329,7 @@
     assert (done.returncode, done.stderr) == (0, b"")
 
 
-def test_explain_without_decisions_says_so(command, at):
+def test_explain_reports_that_no_decision_is_known(command, at):
     assert command("explain", "--subject", "nobody", "--at", at)[1:] == (
         "no decision is known\n",
         "",
