--- a/packages/pepperstair-cli/pepperstair_cli/changes.py
+++ b/packages/pepperstair-cli/pepperstair_cli/changes.py
@@ -32,7 +32,7 @@
         str, Parameter(help="Id of the change; repeat it to retry after a lost answer.")
     ] = ""
     from_version: Annotated[
-        int | None, Parameter(help="Version edited; refused unless it is the newest.")
+        int | None, Parameter(help="Version that was edited; refused if outdated.")
     ] = None
     wait: Annotated[
         bool, Parameter(negative="", help="Wait until it is in force everywhere.")
--- a/packages/pepperstair-cli/pepperstair_cli/formatting.py
+++ b/packages/pepperstair-cli/pepperstair_cli/formatting.py
@@ -25,9 +25,9 @@
     >>> format_duration(5400_000)
     '1.5 h'
     """
-    for unit, unit_ms in _MS_PER_UNIT:
-        if duration_ms >= unit_ms:
-            return f"{round(duration_ms / unit_ms, 1):g} {unit}"
+    for unit, n_ms in _MS_PER_UNIT:
+        if duration_ms >= n_ms:
+            return f"{round(duration_ms / n_ms, 1):g} {unit}"
     return f"{duration_ms} ms"
 
 
