--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -72,14 +72,14 @@
 def test_labels_are_set_removed_and_reset(command, at):
     arguments = ("--customer", "lantern", "--at", at)
     assert command("label", "ledger-1", "canary=yes", "old-", *arguments)[0] == 0
-    held = json.loads(command("get", "lantern", "--at", at, "--output", "json")[1])
-    assert held["intent"]["label_overrides"] == [
+    fetched = json.loads(command("get", "lantern", "--at", at, "--output", "json")[1])
+    assert fetched["intent"]["label_overrides"] == [
         {"workload": "ledger-1", "labels": {"canary": "yes", "old": ""}}
     ]
     resets = ("--reset", "canary", "--reset", "old")
     assert command("label", "ledger-1", *resets, *arguments)[0] == 0
-    held = json.loads(command("get", "lantern", "--at", at, "--output", "json")[1])
-    assert held["intent"]["label_overrides"] == []
+    fetched = json.loads(command("get", "lantern", "--at", at, "--output", "json")[1])
+    assert fetched["intent"]["label_overrides"] == []
 
 
 def test_concurrent_change_from_the_same_version_is_a_conflict(command, at):
@@ -89,9 +89,9 @@
     one, and calls would go to the wrong targets without any error.
     """
     newest = version_of(command, at)
-    late = ("--from-version", newest, "--customer", "lantern", "--at", at)
-    assert command("label", "ledger-1", "a=b", *late)[0] is ExitCode.SUCCESS
-    code, _, err = command("label", "ledger-1", "c=d", *late)
+    from_newest = ("--from-version", newest, "--customer", "lantern", "--at", at)
+    assert command("label", "ledger-1", "a=b", *from_newest)[0] is ExitCode.SUCCESS
+    code, _, err = command("label", "ledger-1", "c=d", *from_newest)
     assert code is ExitCode.FAILED
     assert err.startswith("conflict: ")
     assert len(err.splitlines()) == 1
