--- a/benchmarks/burn.py
+++ b/benchmarks/burn.py
@@ -12,7 +12,7 @@
 from pepperstair_core.burn import BurnCounts, counts_to_table
 from pepperstair_core.burn.counts import N_CONVERGENCES_MAX, N_CUSTOMERS_MAX
 from pepperstair_core.calls import CallOutcome
-from pepperstair_core.errors import Run
+from pepperstair_core.errors import RunStatus
 from pepperstaird.timings import Timings
 
 from .machine import describe_machine
@@ -27,7 +27,7 @@
     print(f"make bench-burn; {describe_machine()}")
     counts, timings = BurnCounts(0), Timings()
     outcomes = [
-        CallOutcome(f"c{i}", "r", "urgent", 200, None, Run.YES, 3.0, 0)
+        CallOutcome(f"c{i}", "r", "urgent", 200, None, RunStatus.YES, 3.0, 0)
         for i in range(N_CUSTOMERS_MAX)
     ]
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -12,13 +12,13 @@
 from random import Random
 
 from tests.call_load import Call, Decisions, Faults, Report, Simulation, poisson_calls
-from tests.naive.calls import EndlessQueue, RandomChooser, retry_blindly
+from tests.naive.calls import RandomChooser, UnboundedQueue, retry_blindly
 
 SEEDS = range(2)
 UNTIL_MS = 5_000.0
 LOADS = (0.9, 1.2, 2.0)
 MEAN_SERVICE_MS = 40.0
-NAIVE = Decisions(RandomChooser, EndlessQueue, retry_blindly)
+NAIVE = Decisions(RandomChooser, UnboundedQueue, retry_blindly)
 DEPLOYMENTS = {"ledger": 7, "aklatan": 4}
 FAULTS = {
     "none": Faults(),
--- a/benchmarks/document.py
+++ b/benchmarks/document.py
@@ -14,7 +14,7 @@
 from pepperstair_adapter.documents import make_document_reader, read_document
 from pepperstair_core.routing import compile_routes
 from pepperstair_core.versions import Head, Snapshot
-from pepperstair_core.wire import pack
+from pepperstair_core.wire import compress
 from tests.adapter.documents import document, rule
 
 _N_REPEATS = 7
@@ -41,7 +41,7 @@
     next_ms = _time_ms(lambda: reader(second))
     compile_ms = _time_ms(lambda: compile_routes((snapshot,), {"service": "vault"}))
     print(
-        f"{n_routes} routes: {len(first)} bytes, packed {len(pack(first))};"
+        f"{n_routes} routes: {len(first)} bytes, packed {len(compress(first))};"
         f" read anew {anew_ms:.1f} ms, as the next one {next_ms:.1f} ms,"
         f" compile {compile_ms:.1f} ms"
     )
--- a/benchmarks/naive/configuration.py
+++ b/benchmarks/naive/configuration.py
@@ -11,7 +11,11 @@
 from pepperstair_core.config import PlatformSettings
 from pepperstair_core.events import Event
 from pepperstair_core.labels import Labels
-from pepperstair_core.routing import RouteTable, compile_routes, overrides_of
+from pepperstair_core.routing import (
+    RouteTable,
+    compile_routes,
+    label_overrides_by_workload,
+)
 from pepperstair_core.versions import Head, Snapshot, make_snapshot
 from pepperstair_platform import Platform, head_from_row
 
@@ -68,7 +72,7 @@
             return False
         self._in_force[customer] = snapshot
         self.route_table = compile_routes(self._in_force.values(), self._proxy_labels)
-        self.overrides = overrides_of(self._in_force.values())
+        self.overrides = label_overrides_by_workload(self._in_force.values())
         log.info(
             Event.VERSION_IN_FORCE, customer=customer, version=snapshot.head.version
         )
--- a/benchmarks/naive/daemon.py
+++ b/benchmarks/naive/daemon.py
@@ -86,8 +86,8 @@
             identity,
             frame_max_bytes,
             {
-                StreamKind.CONTROL: self.control.take_stream,
-                StreamKind.DATA: self.call_server.take_stream,
+                StreamKind.CONTROL: self.control.serve_stream,
+                StreamKind.DATA: self.call_server.serve_stream,
             },
             self.frame_counters,
         )
@@ -150,7 +150,7 @@
             route_table=lambda: self.configuration.route_table,
             endpoints=self._endpoints,
             choose=self._choose,
-            carry=self._carry,
+            send_attempt=self._carry,
             is_ready=self.is_ready,
             body_max_bytes=self.settings.callers.body_max_bytes,
         )
--- a/benchmarks/naive/operations.py
+++ b/benchmarks/naive/operations.py
@@ -50,7 +50,7 @@
         return json_reply({"lease_ms": taken.unwrap()})
 
     async def delete_target(request: OperatorRequest) -> OperatorReply:
-        daemon.registry.leave(request.name)
+        daemon.registry.deregister(request.name)
         return json_reply({})
 
     server.add("GET", "/v1/status", status)
--- a/benchmarks/naive/proxy.py
+++ b/benchmarks/naive/proxy.py
@@ -28,7 +28,7 @@
 
 _N_RETRIES: Final = 3
 
-CallCarrier = Callable[[Endpoint, CallHead, BodyBuffer], Awaitable[StreamedResponse]]
+AttemptSender = Callable[[Endpoint, CallHead, BodyBuffer], Awaitable[StreamedResponse]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     route_table: Callable[[], RouteTable]
     endpoints: Callable[[CompiledRoute], Iterable[Endpoint]]
     choose: Callable[[list[Endpoint]], Endpoint | None]
-    carry: CallCarrier
+    send_attempt: AttemptSender
     is_ready: Callable[[], bool]
     body_max_bytes: int
 
@@ -100,7 +100,7 @@
         head = self._call_head(request, compiled, endpoint)
         try:
             async with asyncio.timeout(head.time_left_ms / 1000):
-                return await context.carry(endpoint, head, BodyBuffer.of(body))
+                return await context.send_attempt(endpoint, head, BodyBuffer.of(body))
         except TimeoutError as error:
             raise PepperstairError(Failure(ErrorKind.TIMEOUT)) from error
 
@@ -140,7 +140,7 @@
 async def _answer_failure(exchange: Exchange, failure: Failure) -> None:
     headers = [
         (b"content-type", b"text/plain; charset=utf-8"),
-        (b"pepperstair-run", failure.has_run.encode()),
+        (b"pepperstair-run", failure.run_status.encode()),
         (b"pepperstair-error", failure.kind.encode()),
     ]
     if failure.retry_after_ms:
@@ -187,4 +187,4 @@
     return min(int(stated), route_timeout_ms)
 
 
-__all__ = ["CallCarrier", "NaiveContext", "NaiveProxy"]
+__all__ = ["AttemptSender", "NaiveContext", "NaiveProxy"]
--- a/benchmarks/naive/runner.py
+++ b/benchmarks/naive/runner.py
@@ -7,7 +7,7 @@
 import structlog
 
 from pepperstair_core.config import parse_address
-from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, RunStatus
 from pepperstair_core.members import Target, TargetState
 from pepperstair_core.wire import CallHead
 from pepperstair_http import (
@@ -154,7 +154,7 @@
 
 
 def _not_run(kind: ErrorKind, detail: str) -> PepperstairError:
-    return PepperstairError(Failure(kind, detail, run=Run.NO))
+    return PepperstairError(Failure(kind, detail, run=RunStatus.NO))
 
 
 __all__ = ["NaiveRunner"]
--- a/emulator/pepperstair_emulator/attempts.py
+++ b/emulator/pepperstair_emulator/attempts.py
@@ -17,7 +17,7 @@
     Refused,
     decide_retry,
 )
-from pepperstair_core.errors import ErrorKind, Failure, Run
+from pepperstair_core.errors import ErrorKind, Failure, RunStatus
 from pepperstair_core.routing import Endpoint
 
 from .experiment import RouteModel
@@ -66,7 +66,7 @@
         self._excluded: frozenset[tuple[str, str]] = frozenset()
         self._overload_failure: Failure | None = None
         self._n_attempts = 0
-        self._run_status = Run.NO
+        self._run_status = RunStatus.NO
         self._chosen: Endpoint | None = None
         self._chosen_ms = 0.0
 
@@ -85,7 +85,7 @@
             is_urgent=route.priority == "urgent",
             route=route.name,
             objective_ms=route.objective_ms,
-            is_room_wanted=self._overload_failure is not None,
+            is_free_slot_required=self._overload_failure is not None,
         )
         if chosen is None:
             self._give_up(self._overload_failure or Failure(ErrorKind.NO_TARGET))
@@ -111,7 +111,7 @@
                 self._run_on(target)
                 return
             retry_after_ms = refused.retry_after_ms
-            failure = Failure(ErrorKind.OVERLOADED, "", retry_after_ms, Run.NO)
+            failure = Failure(ErrorKind.OVERLOADED, "", retry_after_ms, RunStatus.NO)
             self._answer_after_hop(failure)
 
         target.request_slot(self._route, self._deadline_ms, self._wanted_ms, on_verdict)
@@ -125,7 +125,7 @@
             return
         if fleet.rng.random() < target.factor("shed"):
             target.release_slot(route, 1.0)
-            self._answer_after_hop(Failure(ErrorKind.TARGET_REFUSED, run=Run.NO))
+            self._answer_after_hop(Failure(ErrorKind.TARGET_REFUSED, run=RunStatus.NO))
             return
 
         def end(is_good: bool) -> None:
@@ -237,7 +237,7 @@
             route.n_attempts,
             failure.kind is ErrorKind.TARGET_REFUSED,
         )
-        self._run_status = attempt.has_run
+        self._run_status = attempt.run_status
         excluded = self._excluded | {self._chosen.key}
         if len(excluded) == len(fleet.endpoints(route.service)):
             self._give_up(failure)
@@ -255,7 +255,7 @@
 
     def _give_up(self, failure: Failure) -> None:
         retry_after_ms = failure.retry_after_ms or RETRY_AFTER_DEFAULT_MS
-        is_not_run = self._run_status is Run.NO
+        is_not_run = self._run_status is RunStatus.NO
         self._on_done(Outcome(False, is_not_run, retry_after_ms if is_not_run else 0.0))
 
 
--- a/packages/pepperstair-callers/pepperstair_callers/__init__.py
+++ b/packages/pepperstair-callers/pepperstair_callers/__init__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .context import CallCarrier, ProxyContext
+from .context import AttemptSender, ProxyContext
 from .proxy import Proxy
 
-__all__ = ["CallCarrier", "Proxy", "ProxyContext"]
+__all__ = ["AttemptSender", "Proxy", "ProxyContext"]
--- a/packages/pepperstair-callers/pepperstair_callers/attempts.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempts.py
@@ -20,7 +20,7 @@
     decide_retry,
     fingerprint,
 )
-from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, RunStatus
 from pepperstair_core.routing import CompiledRoute, Endpoint
 from pepperstair_core.wire import CallHead
 from pepperstair_http import Request, StreamedResponse, header_value
@@ -109,7 +109,7 @@
         self.n_attempts = 0
         self.fingerprint = b""
         self.given_up: GiveUpCause | None = None
-        self.run = Run.NO
+        self.run = RunStatus.NO
         # Each attempt as the log shows it: where, how it ended, after how long.
         self.tried: list[tuple[str, str, str, float]] = []
 
@@ -123,7 +123,7 @@
         """Return the time until the answer is due."""
         return self.deadline_ms - self._context.now_ms()
 
-    async def carry(self) -> StreamedResponse:
+    async def send_attempt(self) -> StreamedResponse:
         """Return the first answer of a target, or raise the last failure."""
         context = self._context
         percent = min(context.retry_budget_percent, self._budget_percent())
@@ -151,7 +151,7 @@
             except PepperstairError as error:
                 await self._back_off(error.failure)
             except BaseException:
-                self.run = Run.UNKNOWN
+                self.run = RunStatus.UNKNOWN
                 self.abandon()
                 raise
 
@@ -187,7 +187,7 @@
         failed_endpoint = self._endpoint
         failed.cancel()
         self._has_arrived = True
-        self.run = Run.YES
+        self.run = RunStatus.YES
         failure = Failure(ErrorKind.TARGET_FAILED, f"status {failed.status}")
         try:
             await self._back_off(failure)
@@ -281,7 +281,7 @@
             route=self.compiled.route.name,
             n_answer_bytes=context.answer_sizes.of(self.compiled.route.name),
             objective_ms=self.compiled.route.objective_ms,
-            is_room_wanted=self._refused is not None,
+            is_free_slot_required=self._refused is not None,
         )
         if chosen is None and self._refused is not None:
             self.given_up = GiveUpCause.NO_ROOM
@@ -296,12 +296,12 @@
         body = self._body.for_attempt()
         if endpoint.vm == self._context.vm:
             # The runner beside the target holds the deadline itself.
-            return await self._context.carry(endpoint, head, body)
+            return await self._context.send_attempt(endpoint, head, body)
         try:
             async with asyncio.timeout(max(0.0, self.time_left_ms) / 1000) as scope:
                 loop = asyncio.get_running_loop()
                 self._body.on_failed = lambda: scope.reschedule(loop.time())
-                return await self._context.carry(endpoint, head, body)
+                return await self._context.send_attempt(endpoint, head, body)
         except TimeoutError as error:
             failure = self._body.failure or Failure(ErrorKind.TIMEOUT)
             raise PepperstairError(failure) from error
@@ -328,7 +328,7 @@
             self.compiled.route.n_attempts_max,
             self._has_arrived,
         )
-        self.run = attempt.has_run
+        self.run = attempt.run_status
         excluded = self._excluded | {failed.key}
         known = self._context.endpoints(self.compiled)
         has_other = any(endpoint.key not in excluded for endpoint in known)
@@ -336,7 +336,7 @@
             failure.kind,
             failure.detail,
             self._retry_after_ms(failure),
-            attempt.has_run,
+            attempt.run_status,
         )
         if not has_other:
             self.given_up = GiveUpCause.NO_OTHER
--- a/packages/pepperstair-callers/pepperstair_callers/context.py
+++ b/packages/pepperstair-callers/pepperstair_callers/context.py
@@ -31,15 +31,15 @@
 
 log = structlog.get_logger(__name__)
 
-CallCarrier = Callable[[Endpoint, CallHead, BodyBuffer], Awaitable[StreamedResponse]]
+AttemptSender = Callable[[Endpoint, CallHead, BodyBuffer], Awaitable[StreamedResponse]]
 
 
 class ProxyContext(Struct, frozen=True):
     """The state and the functions that the proxy shares with the daemon.
 
-    `carry` runs one attempt, beside the target or through its daemon.
+    `send_attempt` runs one attempt, beside the target or through its daemon.
     `budget_of` gives the retry budget that a service's calls draw on. `now_ms`
-    never goes back. `is_joining` says that the daemon has just started, so that what
+    never goes back. `is_starting` says that the daemon has just started, so that what
     it does not know yet it may know in a moment. `service` is that of the target on
     the own VM, where one is to be named to targets. `time_to_stop_ms` is what is left
     for calls of a daemon that stops, infinite for any other.
@@ -50,9 +50,9 @@
     endpoints: Callable[[CompiledRoute], tuple[Endpoint, ...]]
     chooser: TargetChooser
     load_of: Callable[[Endpoint], Load | None]
-    carry: CallCarrier
+    send_attempt: AttemptSender
     is_ready: Callable[[], bool]
-    is_joining: Callable[[], bool]
+    is_starting: Callable[[], bool]
     is_draining: Callable[[], bool]
     on_outcome: Callable[[CallOutcome], None]
     decisions: DecisionLog
@@ -70,4 +70,4 @@
     time_to_stop_ms: Callable[[], float] = lambda: math.inf
 
 
-__all__ = ["CallCarrier", "ProxyContext"]
+__all__ = ["AttemptSender", "ProxyContext"]
--- a/packages/pepperstair-callers/pepperstair_callers/proxy.py
+++ b/packages/pepperstair-callers/pepperstair_callers/proxy.py
@@ -8,9 +8,15 @@
 import structlog
 
 from pepperstair_core.calls import CallOutcome, GiveUpCause, is_sampled
-from pepperstair_core.errors import ANSWERS, ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import (
+    ANSWERS,
+    ErrorKind,
+    Failure,
+    PepperstairError,
+    RunStatus,
+)
 from pepperstair_core.events import Event
-from pepperstair_core.routing import pick_part
+from pepperstair_core.routing import pick_destination
 from pepperstair_http import ConnectionLostError, Exchange, Request, StreamedResponse
 
 from .attempts import ProxiedCall, count_call_ids
@@ -23,7 +29,7 @@
 
 # For how long a request waits for a daemon that has just started: targets announce
 # themselves every 1.5 s, and half of them are known after half a second.
-JOIN_WAIT_MAX_MS: Final = 500.0
+STARTUP_WAIT_MAX_MS: Final = 500.0
 # Waiting longer than this share of what its caller allows would cost it its answer.
 JOIN_WAIT_SHARE: Final = 0.25
 JOIN_CHECK_MS: Final = 20
@@ -57,7 +63,7 @@
         status, error = ANSWERS[ErrorKind.CANCELLED].status, ErrorKind.CANCELLED
         try:
             try:
-                if self._context.is_joining():
+                if self._context.is_starting():
                     await self._wait_to_join(exchange.request)
                 call = self._begin(exchange, start_ms)
                 response = await self._carry(call)
@@ -65,10 +71,10 @@
                 failure = failed.failure
                 status, error = failure.answer.status, failure.kind
                 if call is not None:
-                    call.run = failure.has_run
+                    call.run = failure.run_status
                 await answer_failure(exchange, failure, self._context.header_names)
                 return
-            call.run = Run.YES
+            call.run = RunStatus.YES
             is_whole = await self._pass_on(exchange, call, response)
             status = response.status
             error = None if is_whole else ErrorKind.TARGET_FAILED
@@ -91,7 +97,7 @@
             return True
         return self._read_head(request.headers).is_idempotent
 
-    def end_all(self) -> None:
+    def fail_pending(self) -> None:
         """Answer every request that still waits for its target, at once.
 
         A daemon that must go can't wait for the slowest target. A connection
@@ -109,7 +115,7 @@
                 self._scopes.add(scope)
                 return await call.carry()
         except TimeoutError as error:
-            kind = ErrorKind.DRAINING if call.run is Run.NO else ErrorKind.TIMEOUT
+            kind = ErrorKind.DRAINING if call.run is RunStatus.NO else ErrorKind.TIMEOUT
             failure = Failure(kind, "this daemon is stopping", run=call.run)
             raise PepperstairError(failure) from error
         finally:
@@ -123,7 +129,7 @@
         of their few retries and a second; after a kill of all daemons, all would.
         """
         timeout_ms = self._read_head(request.headers).timeout_ms
-        longest_ms = JOIN_WAIT_MAX_MS
+        longest_ms = STARTUP_WAIT_MAX_MS
         if timeout_ms:
             longest_ms = min(longest_ms, timeout_ms * JOIN_WAIT_SHARE)
         end_ms = self._context.now_ms() + longest_ms
@@ -143,8 +149,8 @@
         compiled = context.route_table().match(request.host, request.path)
         if compiled is None:
             return True
-        parts = [part for _, part in compiled.parts] or [compiled]
-        return all(context.endpoints(part) for part in parts)
+        destinations = [part for _, part in compiled.destinations] or [compiled]
+        return all(context.endpoints(part) for part in destinations)
 
     def _begin(self, exchange: Exchange, arrived_ms: float) -> ProxiedCall:
         """Find the route of a request, or raise why it is not carried."""
@@ -159,8 +165,8 @@
         compiled = context.route_table().match(request.host, request.path)
         if compiled is None:
             raise PepperstairError(Failure(ErrorKind.NO_ROUTE, request.path))
-        compiled = pick_part(compiled, context.rng)
-        if context.chooser.usual_ms(compiled.route.name) > context.time_to_stop_ms():
+        compiled = pick_destination(compiled, context.rng)
+        if context.chooser.typical_ms(compiled.route.name) > context.time_to_stop_ms():
             raise PepperstairError(Failure(ErrorKind.DRAINING, context.vm))
         head = self._read_head(request.headers)
         body_max_bytes = context.body_max_bytes()
@@ -216,7 +222,7 @@
             priority=call.compiled.route.priority if call is not None else "",
             status=status,
             error=error,
-            run=call.run if call is not None else Run.NO,
+            run=call.run if call is not None else RunStatus.NO,
             duration_ms=self._context.now_ms() - start_ms,
             n_retries=n_retries,
         )
--- a/packages/pepperstair-callers/pepperstair_callers/relay.py
+++ b/packages/pepperstair-callers/pepperstair_callers/relay.py
@@ -6,7 +6,13 @@
 
 import structlog
 
-from pepperstair_core.errors import ANSWERS, ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import (
+    ANSWERS,
+    ErrorKind,
+    Failure,
+    PepperstairError,
+    RunStatus,
+)
 from pepperstair_http import (
     ConnectionLostError,
     Exchange,
@@ -26,7 +32,7 @@
 RETRY_AFTER_DEFAULT_MS: Final = 1_000
 
 _NOT_RUN_STATUSES: Final = frozenset({429, 503})
-_RAN: Final = (RUN_HEADER, Run.YES.encode())
+_RAN: Final = (RUN_HEADER, RunStatus.YES.encode())
 _TEXT: Final = (b"content-type", b"text/plain; charset=utf-8")
 
 
@@ -52,7 +58,7 @@
     answer = failure.answer
     headers = [
         _TEXT,
-        (RUN_HEADER, failure.has_run.encode()),
+        (RUN_HEADER, failure.run_status.encode()),
         (ERROR_HEADER, failure.kind.encode()),
     ]
     retry_after_ms = failure.retry_after_ms
@@ -72,7 +78,7 @@
     Callers take 429 and 503 as a promise that the request did not run.
     """
     status = failure.answer.status
-    if status in _NOT_RUN_STATUSES and failure.has_run is not Run.NO:
+    if status in _NOT_RUN_STATUSES and failure.run_status is not RunStatus.NO:
         return ANSWERS[ErrorKind.OUTCOME_UNKNOWN].status
     return status
 
--- a/packages/pepperstair-core/pepperstair_core/calls/__init__.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/__init__.py
@@ -7,18 +7,18 @@
     FULL_AVOIDED_MS,
     JOINING_MS,
     CallEnd,
+    CrossZoneCause,
     Ejection,
     EndKind,
     Load,
     TargetChooser,
-    ZoneExit,
 )
 from .fair_queue import WaitingCall
 from .fingerprint import fingerprint
 from .fleet_budget import BudgetTerms, FleetRetryBudget
 from .outcome import CallOutcome
 from .pacing import LinkPacer
-from .quarantine import CrashRecord, Quarantine, Standing
+from .quarantine import CrashRecord, Quarantine, TrustLevel
 from .retry import (
     Attempt,
     GiveUp,
@@ -55,13 +55,13 @@
     "Refused",
     "Retry",
     "RetryBudget",
-    "Standing",
+    "TrustLevel",
     "CrashRecord",
     "TargetChooser",
     "TokenRetryBudget",
     "Verdict",
     "WaitingCall",
-    "ZoneExit",
+    "CrossZoneCause",
     "decide_retry",
     "fingerprint",
     "is_sampled",
--- a/packages/pepperstair-core/pepperstair_core/calls/call_ends.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/call_ends.py
@@ -41,13 +41,13 @@
     period_ms: float
 
 
-class ZoneExit(StrEnum):
+class CrossZoneCause(StrEnum):
     """Why a call was sent to another availability zone."""
 
     NO_TARGET = "no target"
-    LEFT_OUT = "left out"
+    EXCLUDED = "left out"
     FULL = "full"
     SLOW = "slow"
 
 
-__all__ = ["CallEnd", "EndKind", "Ejection", "ZoneExit"]
+__all__ = ["CallEnd", "EndKind", "Ejection", "CrossZoneCause"]
--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Final
 
-from .call_ends import CallEnd, Ejection, EndKind, ZoneExit
+from .call_ends import CallEnd, CrossZoneCause, Ejection, EndKind
 from .expected_wait import Load, LoadOf, WaitOf, make_wait_of
 from .route_latencies import RouteLatencies
 from .target_group import Candidates, TargetGroup, TargetKey
@@ -51,7 +51,7 @@
 
     Times are in milliseconds of one clock that never goes back; `rng` makes
     every choice repeatable. For `joining_ms` from the first choice on, targets that
-    it learns of are taken for warm. `n_left_zone` counts the calls that went to other
+    it learns of are taken for warm. `n_cross_zone` counts the calls that went to other
     zones, by what kept them from the targets of their own.
     """
 
@@ -60,7 +60,7 @@
     ) -> None:
         self._joining_ms = joining_ms
         self._joined_ms: float | None = None
-        self.n_left_zone = dict.fromkeys(ZoneExit, 0)
+        self.n_cross_zone = dict.fromkeys(CrossZoneCause, 0)
         self._availability_zone = availability_zone
         self._rng = rng
         self._health: dict[TargetKey, TargetHealth] = {}
@@ -80,7 +80,7 @@
         route: str = "",
         n_answer_bytes: float = 0.0,
         objective_ms: float = 0.0,
-        is_room_wanted: bool = False,
+        is_free_slot_required: bool = False,
     ) -> Endpoint | None:
         """Return the endpoint for one call, or None where none is left.
 
@@ -88,7 +88,7 @@
         hardly wait for a slot, so that the time since their start is the time
         that the target itself takes; with an `objective_ms` that wait is short, so
         that a long time tells something too. `n_answer_bytes` is about what the answer
-        will bring across zones; with `is_room_wanted` none but a target with a
+        will bring across zones; with `is_free_slot_required` none but a target with a
         free slot will do.
         """
         group = self._group(endpoints, now_ms)
@@ -101,7 +101,7 @@
             wait_of = make_wait_of(self._health, group.norms(now_ms), load_of, now_ms)
             is_quick = self._make_is_quick(route, objective_ms, now_ms)
             chosen = self._pick(group, candidates, wait_of, is_quick, n_answer_bytes)
-            if is_room_wanted and wait_of(chosen) > ROOM_WAIT:
+            if is_free_slot_required and wait_of(chosen) > ROOM_WAIT:
                 return None
         self._health[chosen.key].begin(
             now_ms, self._age_weight(route, is_urgent, objective_ms > 0)
@@ -128,15 +128,15 @@
         scale = self._norms.scale(route)
         return scale if is_urgent else scale * QUEUED_AGE_WEIGHT
 
-    def usual_ms(self, route: str) -> float:
+    def typical_ms(self, route: str) -> float:
         """Return how long calls of a route usually take, 0 where none was seen."""
-        return self._norms.usual_ms(route)
+        return self._norms.typical_ms(route)
 
-    def forgive(self, vm: str) -> None:
+    def clear_ejection(self, vm: str) -> None:
         """Use the targets of a VM again that were ejected."""
         for (known_vm, _), health in self._health.items():
             if known_vm == vm:
-                health.forgive()
+                health.clear_ejection()
 
     def record_answer(self, endpoint: Endpoint, start_ms: float) -> None:
         """Take the head of the answer to a call that was chosen at `start_ms`."""
@@ -283,7 +283,9 @@
         near, far = candidates
         if not near:
             is_there = bool(group.near)
-            self.n_left_zone[ZoneExit.LEFT_OUT if is_there else ZoneExit.NO_TARGET] += 1
+            self.n_cross_zone[
+                CrossZoneCause.EXCLUDED if is_there else CrossZoneCause.NO_TARGET
+            ] += 1
             return self._better_of_two(far, wait_of)
         if not far:
             return self._better_of_two(near, wait_of)
@@ -303,7 +305,7 @@
                 return best
         if far_wait + margin + ZONE_MARGIN >= near_wait:
             return best
-        self.n_left_zone[ZoneExit.FULL if is_full else ZoneExit.SLOW] += 1
+        self.n_cross_zone[CrossZoneCause.FULL if is_full else CrossZoneCause.SLOW] += 1
         return other
 
     def _better_of_two(
@@ -387,5 +389,5 @@
     "LoadOf",
     "TargetChooser",
     "TargetKey",
-    "ZoneExit",
+    "CrossZoneCause",
 ]
--- a/packages/pepperstair-core/pepperstair_core/calls/outcome.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/outcome.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from ..errors import ErrorKind, Run
+from ..errors import ErrorKind, RunStatus
 
 
 class CallOutcome(Struct, frozen=True):
@@ -19,7 +19,7 @@
     priority: str
     status: int
     error: ErrorKind | None
-    run: Run
+    run: RunStatus
     duration_ms: float
     n_retries: int
 
--- a/packages/pepperstair-core/pepperstair_core/calls/pacing.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/pacing.py
@@ -54,7 +54,7 @@
         paced_bytes = int(_PART_MS * link_bytes_per_ms)
         self.part_bytes = min(part_max_bytes, max(_PART_MIN_BYTES, paced_bytes))
 
-    def may_leave_whole(self, n_bytes: int) -> bool:
+    def may_send_whole(self, n_bytes: int) -> bool:
         """Return whether an answer needs no parts, and so costs one write."""
         return not self._bytes_per_ms or n_bytes <= self.part_bytes
 
--- a/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from ..array_record import ArrayRecord
-from ..errors import ErrorKind, Failure, Run
+from ..errors import ErrorKind, Failure, RunStatus
 
 # Crashes after which a request is kept from every target.
 N_CRASHES_MAX: Final = 3
@@ -48,7 +48,7 @@
         return not set(self.crash_ids) <= set(self.cleared_ids)
 
 
-class Standing(Enum):
+class TrustLevel(Enum):
     """How a request may be run."""
 
     TRUSTED = "trusted"
@@ -72,7 +72,7 @@
     >>> quarantine = Quarantine()
     >>> for crash_id in ("vm-1/1", "vm-2/1", "vm-3/1"):
     ...     charged = quarantine.record_crash([b"poison"], crash_id, now_ms=0)
-    >>> quarantine.standing(b"poison", now_ms=0)
+    >>> quarantine.trust_level(b"poison", now_ms=0)
     <Standing.QUARANTINED: 'quarantined'>
     """
 
@@ -80,34 +80,34 @@
         self._n_tracked_max = n_tracked_max
         self._records: dict[bytes, _Record] = {}
 
-    def standing(self, fingerprint: bytes, now_ms: float) -> Standing:
+    def trust_level(self, fingerprint: bytes, now_ms: float) -> TrustLevel:
         """Return how a request may be run now."""
         record = self._records.get(fingerprint)
         if record is None:
-            return Standing.TRUSTED
+            return TrustLevel.TRUSTED
         n_crashes = self._n_crashes(fingerprint, now_ms)
         if n_crashes < N_CRASHES_ISOLATED:
-            return Standing.TRUSTED
+            return TrustLevel.TRUSTED
         if now_ms < record.crashed_ms + _quarantine_ms(n_crashes):
-            return Standing.QUARANTINED
-        return Standing.SUSPECT
+            return TrustLevel.QUARANTINED
+        return TrustLevel.SUSPECT
 
     def refusal(self, fingerprint: bytes, now_ms: float) -> Failure | None:
         """Return the failure of a quarantined request, None for any other one.
 
         It says when such a request may run again.
         """
-        if self.standing(fingerprint, now_ms) is not Standing.QUARANTINED:
+        if self.trust_level(fingerprint, now_ms) is not TrustLevel.QUARANTINED:
             return None
         record = self._records[fingerprint]
         until_ms = record.crashed_ms + _quarantine_ms(record.n_crashes)
         left_ms = max(0, int(until_ms - now_ms))
-        return Failure(ErrorKind.QUARANTINED, fingerprint.hex(), left_ms, Run.NO)
+        return Failure(ErrorKind.QUARANTINED, fingerprint.hex(), left_ms, RunStatus.NO)
 
     def n_quarantined(self, now_ms: float) -> int:
         """Return how many requests are kept from all targets."""
         return sum(
-            self.standing(fingerprint, now_ms) is Standing.QUARANTINED
+            self.trust_level(fingerprint, now_ms) is TrustLevel.QUARANTINED
             for fingerprint in self._records
         )
 
@@ -193,7 +193,7 @@
             min(
                 self._records,
                 key=lambda found: (
-                    self.standing(found, now_ms) is Standing.QUARANTINED,
+                    self.trust_level(found, now_ms) is TrustLevel.QUARANTINED,
                     self._records[found].crashed_ms,
                 ),
             )
@@ -215,5 +215,5 @@
     "RECORD_KEPT_MS",
     "CrashRecord",
     "Quarantine",
-    "Standing",
+    "TrustLevel",
 ]
--- a/packages/pepperstair-core/pepperstair_core/calls/retry.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/retry.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct
 
-from ..errors import ErrorKind, Failure, Run
+from ..errors import ErrorKind, Failure, RunStatus
 
 N_ATTEMPTS_MAX: Final = 3
 BACKOFF_BASE_MS: Final = 5.0
@@ -55,20 +55,20 @@
     is_idempotent: bool
     is_replayable: bool
     time_left_ms: float
-    earlier_run: Run = Run.NO
+    earlier_run: RunStatus = RunStatus.NO
     n_attempts_max: int = N_ATTEMPTS_MAX
     has_arrived: bool = True
 
     @property
-    def has_run(self) -> Run:
+    def run_status(self) -> RunStatus:
         """Return whether the call ran, over all attempts.
 
         The last refusal proves nothing of an earlier attempt whose answer was
         lost: telling its caller `no` could make it book a second time.
         """
-        if self.earlier_run is Run.NO:
-            return self.failure.has_run
-        return Run.UNKNOWN
+        if self.earlier_run is RunStatus.NO:
+            return self.failure.run_status
+        return RunStatus.UNKNOWN
 
 
 class Retry(Struct, frozen=True):
@@ -127,10 +127,10 @@
 def decide_retry(attempt: Attempt, budget: RetryBudget, rng: Random) -> Retry | GiveUp:
     """Decide what follows a failed attempt; a retry is taken from the budget."""
     failure = attempt.failure
-    if attempt.has_run is not Run.NO and not attempt.is_idempotent:
+    if attempt.run_status is not RunStatus.NO and not attempt.is_idempotent:
         return GiveUp(GiveUpCause.MAY_HAVE_RUN)
     is_lost = failure.kind in _LOST_ANSWERS
-    is_refused = failure.answer.is_retryable and failure.has_run is Run.NO
+    is_refused = failure.answer.is_retryable and failure.run_status is RunStatus.NO
     if not (is_refused or is_lost) or not attempt.is_replayable:
         return GiveUp(GiveUpCause.FINAL)
     if attempt.n_attempts >= attempt.n_attempts_max:
--- a/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
@@ -25,7 +25,7 @@
         self._usual_overall_ms = 0.0
         self._failing: dict[str, float] = {}
 
-    def usual_ms(self, route: str) -> float:
+    def typical_ms(self, route: str) -> float:
         """Return how long answers of a route usually take, 0 where none was seen."""
         return self._usual_ms.get(route, 0.0)
 
@@ -35,8 +35,8 @@
         A target that has just served a large archive is no slower than one that
         served a short look-up.
         """
-        usual_ms = self._usual_ms.get(route)
-        return 1.0 if usual_ms is None else self._usual_overall_ms / usual_ms
+        typical_ms = self._usual_ms.get(route)
+        return 1.0 if typical_ms is None else self._usual_overall_ms / typical_ms
 
     def record_latency(self, route: str, latency_ms: float) -> None:
         """Take a good answer's latency into what is usual."""
@@ -44,8 +44,8 @@
             return
         if len(self._usual_ms) >= N_ROUTES_MAX and route not in self._usual_ms:
             self._usual_ms.clear()
-        usual_ms = self._usual_ms.get(route, latency_ms)
-        self._usual_ms[route] = usual_ms + USUAL_WEIGHT * (latency_ms - usual_ms)
+        typical_ms = self._usual_ms.get(route, latency_ms)
+        self._usual_ms[route] = typical_ms + USUAL_WEIGHT * (latency_ms - typical_ms)
         overall_ms = self._usual_overall_ms or latency_ms
         change_ms = latency_ms - overall_ms
         self._usual_overall_ms = overall_ms + USUAL_WEIGHT * change_ms
--- a/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
@@ -61,7 +61,7 @@
         return len(self.body) + sum(len(k) + len(v) for k, v in self.headers)
 
 
-class Admission(Enum):
+class RunAdmission(Enum):
     """Whether a call that arrives may run."""
 
     TAKEN = "taken"
@@ -119,7 +119,7 @@
 
     def begin(
         self, key: CallKey, sequence: int, time_left_ms: int, now_ms: int
-    ) -> Admission:
+    ) -> RunAdmission:
         """Take a call that arrived, unless it was here before or there is no room.
 
         `sequence` is that of the stream. A call that was said not to have run
@@ -130,16 +130,16 @@
         run = self._runs.get(key)
         if run is not None:
             if run.state is not RunState.NEVER_RUN or sequence < run.sequence:
-                return Admission.REPEATED
+                return RunAdmission.REPEATED
         elif self._is_forgotten(key):
-            return Admission.REPEATED
+            return RunAdmission.REPEATED
         if len(self._runs) >= self._n_runs_max:
-            return Admission.FULL
+            return RunAdmission.FULL
         if self.n_kept_bytes >= self._kept_max_bytes:
-            return Admission.FULL
+            return RunAdmission.FULL
         expires_ms = now_ms + time_left_ms + FORGET_MARGIN_MS
         self._add(key, RunState.RUNNING, sequence, expires_ms)
-        return Admission.TAKEN
+        return RunAdmission.TAKEN
 
     def finish(self, key: CallKey, answer: KeptAnswer | None) -> None:
         """Note that a run is over; None where its answer was too large to keep."""
@@ -227,7 +227,7 @@
     "ANSWER_KEPT_MAX_BYTES",
     "FORGET_MARGIN_MS",
     "KEPT_MAX_BYTES",
-    "Admission",
+    "RunAdmission",
     "CallKey",
     "KeptAnswer",
     "Recall",
--- a/packages/pepperstair-core/pepperstair_core/calls/target_health.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_health.py
@@ -156,7 +156,7 @@
         self.n_errors += 1
         self._n_successes = 0
 
-    def forgive(self) -> None:
+    def clear_ejection(self) -> None:
         """End an ejection, as the target's VM has come back."""
         self.is_ejected = False
         self.is_probed = False
--- a/packages/pepperstair-core/pepperstair_core/distribution/__init__.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/__init__.py
@@ -6,17 +6,18 @@
     Action,
     Converged,
     FetchObject,
-    Note,
     PutInForce,
-    ReadBells,
+    ReadBucketTokens,
     ReadHead,
     ReadHeads,
+    RecordDecision,
     Reject,
     Send,
 )
-from .convergence import Collection, collect, missing_vms
+from .convergence import AcknowledgementCollection, collect, missing_vms
 from .events import (
-    BellsRead,
+    ApplyNext,
+    BucketTokensRead,
     ChangeAccepted,
     DistributionEvent,
     FrameReceived,
@@ -28,7 +29,6 @@
     ObjectFetched,
     Paused,
     Tick,
-    Work,
 )
 from .floor import ReachedBy
 from .node import Distribution
@@ -38,9 +38,9 @@
 __all__ = [
     "PLATFORM",
     "Action",
-    "BellsRead",
+    "BucketTokensRead",
     "ChangeAccepted",
-    "Collection",
+    "AcknowledgementCollection",
     "Converged",
     "Distribution",
     "DistributionEvent",
@@ -51,20 +51,20 @@
     "MembersChanged",
     "NeighbourDown",
     "NeighbourUp",
-    "Note",
+    "RecordDecision",
     "ObjectFetched",
     "Outbox",
     "Paused",
     "PutInForce",
     "ReachedBy",
-    "ReadBells",
+    "ReadBucketTokens",
     "ReadHead",
     "ReadHeads",
     "Reject",
     "Send",
     "Tick",
     "Timing",
-    "Work",
+    "ApplyNext",
     "collect",
     "missing_vms",
 ]
--- a/packages/pepperstair-core/pepperstair_core/distribution/actions.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/actions.py
@@ -26,7 +26,7 @@
     learnt_from: str
 
 
-class ReadBells(Struct, frozen=True):
+class ReadBucketTokens(Struct, frozen=True):
     """Read the bell rows of all buckets."""
 
 
@@ -60,7 +60,7 @@
     cause: str
 
 
-class Note(Struct, frozen=True):
+class RecordDecision(Struct, frozen=True):
     """Record a decision."""
 
     kind: DecisionKind
@@ -81,12 +81,12 @@
 Action = (
     Send
     | PutInForce
-    | ReadBells
+    | ReadBucketTokens
     | ReadHeads
     | ReadHead
     | FetchObject
     | Reject
-    | Note
+    | RecordDecision
     | Converged
 )
 Actions = Iterator[Action]
@@ -96,9 +96,9 @@
     "Actions",
     "Converged",
     "FetchObject",
-    "Note",
+    "RecordDecision",
     "PutInForce",
-    "ReadBells",
+    "ReadBucketTokens",
     "ReadHead",
     "ReadHeads",
     "Reject",
--- a/packages/pepperstair-core/pepperstair_core/distribution/applying.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/applying.py
@@ -17,7 +17,7 @@
     make_delta,
     make_snapshot,
 )
-from .actions import Actions, Note, Reject
+from .actions import Actions, RecordDecision, Reject
 from .in_force import advance
 from .pulling import fetch_failed, want
 from .spreading import announce
@@ -92,7 +92,9 @@
         cause = "; ".join(map(str, applied.unwrap_err()))
         state.counters.n_deltas_refused += 1
         customer.n_received = customer.held_version
-        yield Note(DecisionKind.REJECTED, customer.customer, f"delta: {cause}")
+        yield RecordDecision(
+            DecisionKind.REJECTED, customer.customer, f"delta: {cause}"
+        )
         want(state, customer, version, now_ms, is_urgent=True, needs_full=True)
         return
     state.counters.n_deltas_applied += 1
@@ -117,7 +119,9 @@
     if is_whole or received.sender == PLATFORM:
         yield from _reject(state, customer, received, cause, now_ms)
         return
-    yield Note(DecisionKind.REJECTED, customer.customer, f"{received.sender}: {cause}")
+    yield RecordDecision(
+        DecisionKind.REJECTED, customer.customer, f"{received.sender}: {cause}"
+    )
     if customer.pull is not None:
         customer.pull.due_ms = now_ms
 
--- a/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
@@ -18,7 +18,7 @@
 _N_WAYS_MAX = 512
 
 
-class Collection(Struct):
+class AcknowledgementCollection(Struct):
     """What the collecting daemon knows of one version."""
 
     customer: str
@@ -45,7 +45,7 @@
 class ConvergenceState(Struct):
     """Collections of this daemon and the ways back to other collectors."""
 
-    collections: dict[str, Collection] = field(default_factory=dict)
+    collections: dict[str, AcknowledgementCollection] = field(default_factory=dict)
     ways: dict[tuple[str, str], WayBack] = field(default_factory=dict)
     inquiry_numbers: dict[tuple[str, str], int] = field(default_factory=dict)
 
@@ -57,7 +57,7 @@
     version: int,
     now_ms: int,
     first_inquiry_ms: int,
-) -> Collection:
+) -> AcknowledgementCollection:
     """Begin to collect acknowledgements of a version, newer ones included.
 
     What is collected for a newer version that is held answers for this one too.
@@ -66,14 +66,18 @@
     held_version = state.customer(customer).held_version
     if known is not None and version <= known.version <= held_version:
         return known
-    collection = Collection(customer, version, now_ms, now_ms + first_inquiry_ms)
+    collection = AcknowledgementCollection(
+        customer, version, now_ms, now_ms + first_inquiry_ms
+    )
     convergence.collections[customer] = collection
     if state.customer(customer).in_force_version >= version:
         collection.vms.add(state.fleet.own_vm)
     return collection
 
 
-def missing_vms(collection: Collection, state: DistributionState) -> Iterator[str]:
+def missing_vms(
+    collection: AcknowledgementCollection, state: DistributionState
+) -> Iterator[str]:
     """Yield the live members that have not acknowledged yet."""
     return (vm for vm in state.fleet.live() if vm not in collection.vms)
 
@@ -160,7 +164,9 @@
             yield from _inquire(collection, state, now_ms)
 
 
-def _check(collection: Collection, state: DistributionState, now_ms: int) -> Actions:
+def _check(
+    collection: AcknowledgementCollection, state: DistributionState, now_ms: int
+) -> Actions:
     if collection.convergence_ms is not None:
         return
     if any(True for _ in missing_vms(collection, state)):
@@ -174,7 +180,9 @@
     )
 
 
-def _inquire(collection: Collection, state: DistributionState, now_ms: int) -> Actions:
+def _inquire(
+    collection: AcknowledgementCollection, state: DistributionState, now_ms: int
+) -> Actions:
     """Ask the whole fleet, less and less often while a member stays away."""
     collection.n_inquiries += 1
     wait_ms = state.timing.inquiry_ms * min(2**collection.n_inquiries, 32)
@@ -186,7 +194,7 @@
 
 
 __all__ = [
-    "Collection",
+    "AcknowledgementCollection",
     "ConvergenceState",
     "WayBack",
     "collect",
--- a/packages/pepperstair-core/pepperstair_core/distribution/events.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/events.py
@@ -13,7 +13,7 @@
     """Time has passed."""
 
 
-class Work(Struct, frozen=True):
+class ApplyNext(Struct, frozen=True):
     """There is time to apply one received delta or body."""
 
 
@@ -48,7 +48,7 @@
     snapshot: Snapshot
 
 
-class BellsRead(Struct, frozen=True):
+class BucketTokensRead(Struct, frozen=True):
     """The tokens of the bells by bucket, None where the platform failed."""
 
     tokens: dict[int, str] | None
@@ -82,13 +82,13 @@
 
 DistributionEvent = (
     Tick
-    | Work
+    | ApplyNext
     | NeighbourUp
     | NeighbourDown
     | MembersChanged
     | FrameReceived
     | ChangeAccepted
-    | BellsRead
+    | BucketTokensRead
     | HeadsRead
     | HeadRead
     | ObjectFetched
@@ -96,7 +96,7 @@
 )
 
 __all__ = [
-    "BellsRead",
+    "BucketTokensRead",
     "ChangeAccepted",
     "DistributionEvent",
     "FrameReceived",
@@ -108,5 +108,5 @@
     "ObjectFetched",
     "Paused",
     "Tick",
-    "Work",
+    "ApplyNext",
 ]
--- a/packages/pepperstair-core/pepperstair_core/distribution/floor.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/floor.py
@@ -15,7 +15,7 @@
 from ..decisions import DecisionKind
 from ..versions import Head
 from ..wire import HeadsDigest
-from .actions import Actions, Note, ReadHeads
+from .actions import Actions, ReadHeads, RecordDecision
 from .anti_entropy import ask_versions
 from .state import DistributionState
 
@@ -90,7 +90,7 @@
     if floor.is_known:
         floor.has_been_known = True
         cause = f"floor known by {floor.reached_by}"
-        yield Note(DecisionKind.CAUGHT_UP, state.fleet.own_vm, cause)
+        yield RecordDecision(DecisionKind.CAUGHT_UP, state.fleet.own_vm, cause)
         return
     if floor.platform_heads is None and now_ms >= floor.read_due_ms:
         longest_ms = min(_READ_AGAIN_MS * 2**floor.n_reads, _READ_AGAIN_MAX_MS)
--- a/packages/pepperstair-core/pepperstair_core/distribution/in_force.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/in_force.py
@@ -12,7 +12,7 @@
 from typing import Final
 
 from ..decisions import DecisionKind
-from .actions import Actions, Note, PutInForce
+from .actions import Actions, PutInForce, RecordDecision
 from .state import Candidate, CustomerState, DistributionState
 
 N_OTHER_HOLDERS: Final = 2
@@ -41,7 +41,7 @@
         yield PutInForce(candidate.snapshot, candidate.learnt_from)
         if _n_holders(state, customer, candidate) < _n_required(state):
             state.counters.n_in_force_alone += 1
-            yield Note(DecisionKind.IN_FORCE, customer.customer, "alone", ())
+            yield RecordDecision(DecisionKind.IN_FORCE, customer.customer, "alone", ())
         return
 
 
--- a/packages/pepperstair-core/pepperstair_core/distribution/node.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/node.py
@@ -81,7 +81,7 @@
         yield from convergence.report_due(self.convergence, self.state, now_ms)
 
     @_decide.register
-    def _(self, event: events.Work, now_ms: int) -> Actions:
+    def _(self, event: events.ApplyNext, now_ms: int) -> Actions:
         return applying.apply_next(self.state, now_ms)
 
     @_decide.register
@@ -125,7 +125,7 @@
         )
 
     @_decide.register
-    def _(self, event: events.BellsRead, now_ms: int) -> Actions:
+    def _(self, event: events.BucketTokensRead, now_ms: int) -> Actions:
         return polling.on_bells(self.polling, self.state, event.tokens, now_ms)
 
     @_decide.register
--- a/packages/pepperstair-core/pepperstair_core/distribution/outbox.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/outbox.py
@@ -31,9 +31,9 @@
             queue = self._queues[vm] = DeficitRoundRobin(PART_MAX_BYTES)
         is_delta = isinstance(frame, DeltaPush)
         if is_delta and queue.cost_of(customer) > BACKLOG_MAX_BYTES:
-            for waiting in queue.drop(customer):
-                if isinstance(waiting, SnapshotPart):
-                    queue.put(customer, waiting, _cost(waiting))
+            for pending_vms in queue.drop(customer):
+                if isinstance(pending_vms, SnapshotPart):
+                    queue.put(customer, pending_vms, _cost(pending_vms))
             frame = Have(customer, frame.delta.head.version)
         queue.put(customer, frame, _cost(frame))
 
@@ -46,7 +46,7 @@
         """Forget what waits for a neighbour that is gone."""
         self._queues.pop(vm, None)
 
-    def waiting(self) -> Iterator[str]:
+    def pending_vms(self) -> Iterator[str]:
         """Yield the neighbours that something waits for."""
         for vm, queue in self._queues.items():
             if queue:
--- a/packages/pepperstair-core/pepperstair_core/distribution/polling.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/polling.py
@@ -15,7 +15,7 @@
 from ..rendezvous import highest
 from ..versions import Head
 from ..wire import PollerSign
-from .actions import Actions, ReadBells, ReadHeads, Send
+from .actions import Actions, ReadBucketTokens, ReadHeads, Send
 from .pulling import want
 from .state import DistributionState
 
@@ -52,7 +52,7 @@
     if state.fleet.own_vm in pollers(state):
         if now_ms >= polling.poll_due_ms:
             polling.poll_due_ms = now_ms + _ANSWER_WAIT_MS
-            yield ReadBells()
+            yield ReadBucketTokens()
         return
     polling.tokens.clear()
     if polling.silence_due_ms == 0:
--- a/packages/pepperstair-core/pepperstair_core/errors.py
+++ b/packages/pepperstair-core/pepperstair_core/errors.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 
-class Run(StrEnum):
+class RunStatus(StrEnum):
     """Whether the target ran a request, as far as the answering daemon knows."""
 
     NO = "no"
@@ -64,13 +64,13 @@
     """
 
     status: int
-    run: Run
+    run: RunStatus
     is_retryable: bool
     text: str
 
 
-_NO = Run.NO
-_UNKNOWN = Run.UNKNOWN
+_NO = RunStatus.NO
+_UNKNOWN = RunStatus.UNKNOWN
 
 ANSWERS: Final[dict[ErrorKind, Answer]] = {
     ErrorKind.BAD_REQUEST: Answer(400, _NO, False, "the request is malformed"),
@@ -122,7 +122,7 @@
     kind: ErrorKind
     detail: str = ""
     retry_after_ms: int = 0
-    run: Run | None = None
+    run: RunStatus | None = None
 
     @property
     def answer(self) -> Answer:
@@ -130,7 +130,7 @@
         return ANSWERS[self.kind]
 
     @property
-    def has_run(self) -> Run:
+    def run_status(self) -> RunStatus:
         """Return whether the request ran, sharpened where it is known."""
         return self.answer.run if self.run is None else self.run
 
@@ -156,5 +156,5 @@
     "ErrorKind",
     "Failure",
     "PepperstairError",
-    "Run",
+    "RunStatus",
 ]
--- a/packages/pepperstair-core/pepperstair_core/following.py
+++ b/packages/pepperstair-core/pepperstair_core/following.py
@@ -38,7 +38,7 @@
 DocumentReader = Callable[[bytes], Result[FollowedDocument, list[Fault]]]
 
 
-class Offer(Enum):
+class OfferResult(Enum):
     """What became of a document that was offered."""
 
     IN_FORCE = auto()
@@ -47,7 +47,7 @@
     REJECTED_BEFORE = auto()
 
 
-class Following:
+class FollowedDocumentState:
     """The version in force, which only ever rises, and the last bad document.
 
     A proxy that went back to an older version would send requests to services
@@ -66,28 +66,28 @@
         """Return the version in force, 0 for none."""
         return 0 if self.document is None else self.document.version
 
-    def offer(self, data: bytes) -> Offer:
+    def offer(self, data: bytes) -> OfferResult:
         """Take a document from wherever it came and say what became of it."""
         if self.document is not None and data == self.document.data:
-            return Offer.OLDER
+            return OfferResult.OLDER
         if data == self._rejected:
-            return Offer.REJECTED_BEFORE
+            return OfferResult.REJECTED_BEFORE
         read = self._read(data)
         if read.is_err():
             self._rejected = data
             self.faults = read.unwrap_err()
-            return Offer.REJECTED
+            return OfferResult.REJECTED
         document = read.unwrap()
         if document.version <= self.version:
-            return Offer.OLDER
+            return OfferResult.OLDER
         self.document = document
-        return Offer.IN_FORCE
+        return OfferResult.IN_FORCE
 
 
 __all__ = [
     "CallerLimits",
     "DocumentReader",
     "FollowedDocument",
-    "Following",
-    "Offer",
+    "FollowedDocumentState",
+    "OfferResult",
 ]
--- a/packages/pepperstair-core/pepperstair_core/membership/edges.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/edges.py
@@ -70,9 +70,9 @@
         """Note that a stream came up."""
         self._up.add(vm)
         self._unwanted_since_ms.pop(vm, None)
-        self.settle(address)
+        self.mark_reached(address)
 
-    def settle(self, address: str) -> None:
+    def mark_reached(self, address: str) -> None:
         """Note that an address was reached."""
         self._dialling.discard(address)
         self._backoff.succeed(address)
--- a/packages/pepperstair-core/pepperstair_core/membership/membership.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/membership.py
@@ -135,9 +135,9 @@
             if member is not None and member.peer_address == address:
                 yield from self._accuse(vm, MemberState.SUSPECT, now_ms)
 
-    def settle(self, address: str) -> None:
+    def mark_reached(self, address: str) -> None:
         """Take a dial that led to a second stream, which is not used."""
-        self._edges.settle(address)
+        self._edges.mark_reached(address)
 
     def receive(self, vm: str, frame: Any, now_ms: int) -> Iterator[Action]:
         """Take a frame from a neighbour; those of others are only heard."""
--- a/packages/pepperstair-core/pepperstair_core/membership/rows.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/rows.py
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         self._n_unchanged: dict[MemberRow, int] = {}
 
-    def iter_dead(
+    def iter_stale_vms(
         self, directory: MemberDirectory, rows: Iterable[MemberRow]
     ) -> Iterator[str]:
         """Yield the VMs whose rows nobody writes any more and nobody needs."""
--- a/packages/pepperstair-core/pepperstair_core/routing.py
+++ b/packages/pepperstair-core/pepperstair_core/routing.py
@@ -27,7 +27,7 @@
 class CompiledRoute(Struct, frozen=True):
     """A route of this proxy with its service and the version it came from.
 
-    A route with splits has them in `parts`, each with its weight; its own
+    A route with splits has them in `destinations`, each with its weight; its own
     service is that of the first part.
     """
 
@@ -36,24 +36,24 @@
     route: Route
     service: Service
     target_selector: Selector
-    parts: tuple[tuple[int, CompiledRoute], ...] = ()
+    destinations: tuple[tuple[int, CompiledRoute], ...] = ()
 
 
-def pick_part(compiled: CompiledRoute, rng: Random) -> CompiledRoute:
+def pick_destination(compiled: CompiledRoute, rng: Random) -> CompiledRoute:
     """Return the part of a route that a request goes to.
 
     The weights alone decide: a part
     without room refuses its requests, as an operator who tries a new version
     on a tenth of the traffic must never find the rest of it there.
     """
-    if not compiled.parts:
+    if not compiled.destinations:
         return compiled
-    left = rng.random() * sum(weight for weight, _ in compiled.parts)
-    for weight, part in compiled.parts:
+    left = rng.random() * sum(weight for weight, _ in compiled.destinations)
+    for weight, part in compiled.destinations:
         left -= weight
         if left < 0:
             return part
-    return compiled.parts[-1][1]
+    return compiled.destinations[-1][1]
 
 
 class RouteTable:
@@ -261,7 +261,7 @@
             labels.pop(key, None)
 
 
-def overrides_of(snapshots: Iterable[Snapshot]) -> dict[str, Labels]:
+def label_overrides_by_workload(snapshots: Iterable[Snapshot]) -> dict[str, Labels]:
     """Return the label overrides in force, by workload.
 
     Where two customers override one workload the last by name wins, on every
@@ -305,7 +305,9 @@
         for name in route.services
     ]
     weights = [split.weight for split in route.splits]
-    return replace(by_service[0], parts=tuple(zip(weights, by_service, strict=False)))
+    return replace(
+        by_service[0], destinations=tuple(zip(weights, by_service, strict=False))
+    )
 
 
 def _endpoint_order(endpoint: Endpoint) -> tuple[str, str]:
@@ -325,6 +327,6 @@
     "compile_routes",
     "effective_labels",
     "iter_endpoints",
-    "overrides_of",
-    "pick_part",
+    "label_overrides_by_workload",
+    "pick_destination",
 ]
--- a/packages/pepperstair-core/pepperstair_core/shared_reading.py
+++ b/packages/pepperstair-core/pepperstair_core/shared_reading.py
@@ -100,7 +100,7 @@
         self.confirmed_ms = max(self.confirmed_ms, as_of_ms)
         return newer_ms > NEWER_SHARE * self.max_age_ms
 
-    def fail(self, now_ms: float) -> None:
+    def record_read_failure(self, now_ms: float) -> None:
         """Take note that an own read has failed."""
         self._failed_ms = now_ms
 
@@ -139,7 +139,7 @@
         return int(LONG_WATCH_MS * self._rng.uniform(0.6, 1.0))
 
 
-def place_among_readers(own: Member, members: Iterable[Member], key: str) -> int:
+def reader_rank(own: Member, members: Iterable[Member], key: str) -> int:
     """Return how many living members come before this one in the order of readers.
 
     Those with the widest links come first: on a narrow one the document takes longer
@@ -164,4 +164,4 @@
     return weight(key, name)
 
 
-__all__ = ["N_WATCHERS", "ReadSchedule", "place_among_readers"]
+__all__ = ["N_WATCHERS", "ReadSchedule", "reader_rank"]
--- a/packages/pepperstair-core/pepperstair_core/wire/__init__.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/__init__.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from .codec import FrameDecoder, FrameError, encode_frame
+from .compression import compress, decompress
 from .control import (
     Acknowledge,
     Busy,
@@ -42,7 +43,6 @@
     DataFrame,
     Reset,
 )
-from .packing import pack, unpack
 
 __all__ = [
     "Acknowledge",
@@ -83,6 +83,6 @@
     "CrashRecords",
     "Welcome",
     "encode_frame",
-    "pack",
-    "unpack",
+    "compress",
+    "decompress",
 ]
--- a/packages/pepperstair-core/pepperstair_core/wire/packing.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/compression.py
@@ -12,29 +12,29 @@
 
 # The fastest level: the slower ones gained nothing on such documents.
 _LEVEL: Final = 1
-UNPACKED_MAX_BYTES: Final = 16 * 1024 * 1024
+DECOMPRESSED_MAX_BYTES: Final = 16 * 1024 * 1024
 
 
-def pack(data: bytes) -> bytes:
+def compress(data: bytes) -> bytes:
     """Return data in fewer bytes.
 
-    >>> unpack(pack(b"routes")) == b"routes"
+    >>> decompress(compress(b"routes")) == b"routes"
     True
     """
     return zlib.compress(data, _LEVEL)
 
 
-def unpack(packed: bytes) -> bytes | None:
+def decompress(compressed: bytes) -> bytes | None:
     """Return packed data, None where it is damaged or larger than anything sent.
 
     Without the bound a few bytes could unpack to more than the memory of the VM.
     """
     unpacking = zlib.decompressobj()
     try:
-        data = unpacking.decompress(packed, UNPACKED_MAX_BYTES)
+        data = unpacking.decompress(compressed, DECOMPRESSED_MAX_BYTES)
     except zlib.error:
         return None
     return data if unpacking.eof else None
 
 
-__all__ = ["UNPACKED_MAX_BYTES", "pack", "unpack"]
+__all__ = ["DECOMPRESSED_MAX_BYTES", "compress", "decompress"]
--- a/packages/pepperstair-core/pepperstair_core/wire/control.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/control.py
@@ -208,7 +208,7 @@
     `age_ms` how long ago it was known to be the newest, -1 where that is not known.
     """
 
-    packed: bytes
+    compressed: bytes
     position: int
     age_ms: int = -1
 
@@ -231,7 +231,7 @@
     """
 
     base_version: int
-    packed: bytes
+    compressed: bytes
     position: int
     age_ms: int = -1
 
--- a/packages/pepperstair-core/pepperstair_core/wire/data.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/data.py
@@ -9,7 +9,7 @@
 
 from typing import Final
 
-from ..errors import ErrorKind, Run
+from ..errors import ErrorKind, RunStatus
 from .codec import Frame
 from .control import Heartbeat, Hello, Welcome
 
@@ -82,7 +82,7 @@
 
     call_id: int
     kind: ErrorKind
-    run: Run
+    run: RunStatus
     detail: str
     retry_after_ms: int
     n_in_flight: int = 0
--- a/packages/pepperstair-peers/pepperstair_peers/control/plane.py
+++ b/packages/pepperstair-peers/pepperstair_peers/control/plane.py
@@ -169,7 +169,7 @@
         self._carry_out(self._membership.resume(self._clock_ms()))
         return True
 
-    def take_stream(self, stream: FrameStream, hello: Hello) -> None:
+    def serve_stream(self, stream: FrameStream, hello: Hello) -> None:
         """Serve a control stream that another daemon opened."""
         now_ms = self._clock_ms()
         link = ControlLink(stream, hello.vm, hello.start_id, False, now_ms)
@@ -235,7 +235,7 @@
     def _add(self, link: ControlLink, address: str) -> None:
         """Take a stream into use, unless there is a better one."""
         if not self._links.is_better(link):
-            self._membership.settle(address)
+            self._membership.mark_reached(address)
             link.stream.close()
             return
         vm = link.vm
--- a/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
@@ -115,7 +115,7 @@
         load = self._load_of(self.head.target)
         head = AnswerHead(self.head.call_id, response.status, response.headers, *load)
         part = response.body.read_nowait()
-        is_whole = response.body.is_empty and self.pacer.may_leave_whole(len(part))
+        is_whole = response.body.is_empty and self.pacer.may_send_whole(len(part))
         if is_whole and self.credit.take_nowait(len(part)):
             parts = [BodyPart(self.head.call_id, data) for data in iter_parts(part)]
             self.send(head, *parts, BodyEnd(self.head.call_id))
@@ -193,7 +193,7 @@
     return CallFailed(
         call_id,
         failure.kind,
-        failure.has_run,
+        failure.run_status,
         failure.detail,
         failure.retry_after_ms,
         *load,
--- a/packages/pepperstair-peers/pepperstair_peers/data/link.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/link.py
@@ -9,7 +9,7 @@
 import structlog
 
 from pepperstair_core.calls import Load
-from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, RunStatus
 from pepperstair_core.wire import (
     AnswerHead,
     CallFailed,
@@ -244,7 +244,7 @@
         The daemon that was asked has never seen it, and refuses it from then on
         where it comes on an earlier stream.
         """
-        if not isinstance(frame, CallFailed) or frame.run is not Run.NO:
+        if not isinstance(frame, CallFailed) or frame.run is not RunStatus.NO:
             return False
         is_undelivered = frame.kind is ErrorKind.PEER_UNREACHABLE
         if not is_undelivered or not call.may_be_resent:
@@ -316,7 +316,9 @@
 
 def _unreachable(detail: str) -> PepperstairError:
     """Return the failure of a call whose head was never written."""
-    return PepperstairError(Failure(ErrorKind.PEER_UNREACHABLE, detail, run=Run.NO))
+    return PepperstairError(
+        Failure(ErrorKind.PEER_UNREACHABLE, detail, run=RunStatus.NO)
+    )
 
 
 __all__ = ["SILENT_HEARTBEATS", "PeerLink"]
--- a/packages/pepperstair-peers/pepperstair_peers/data/server.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/server.py
@@ -10,14 +10,14 @@
 
 from pepperstair_core.calls import LinkPacer
 from pepperstair_core.calls.run_memory import (
-    Admission,
     CallKey,
     KeptAnswer,
+    RunAdmission,
     RunMemory,
     RunState,
     Sender,
 )
-from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, RunStatus
 from pepperstair_core.events import Event
 from pepperstair_core.wire import (
     CallHead,
@@ -45,10 +45,10 @@
 
 _ANSWERS: Final = {
     RunState.NOT_KEPT: Failure(
-        ErrorKind.OUTCOME_UNKNOWN, "it ran, its answer was not kept", run=Run.YES
+        ErrorKind.OUTCOME_UNKNOWN, "it ran, its answer was not kept", run=RunStatus.YES
     ),
     RunState.NEVER_RUN: Failure(
-        ErrorKind.PEER_UNREACHABLE, "the request never arrived", run=Run.NO
+        ErrorKind.PEER_UNREACHABLE, "the request never arrived", run=RunStatus.NO
     ),
     RunState.UNKNOWN: Failure(ErrorKind.OUTCOME_UNKNOWN, "the call is forgotten"),
 }
@@ -110,7 +110,7 @@
         """Return the calls whose answers are not sent yet."""
         return len(self._running)
 
-    def take_stream(self, stream: FrameStream, hello: Hello) -> None:
+    def serve_stream(self, stream: FrameStream, hello: Hello) -> None:
         """Serve the calls that arrive on a stream, in place of an earlier one."""
         incoming = _IncomingStream(stream, hello, self._clock_ms())
         if not self._fence.admit(incoming.sender, hello.sequence):
@@ -188,11 +188,11 @@
         """Remember a non-idempotent call, or say why it may not run."""
         now_ms = self._clock_ms()
         admission = self._memory.begin(key, sequence, time_left_ms, now_ms)
-        if admission is Admission.TAKEN:
+        if admission is RunAdmission.TAKEN:
             return None
-        if admission is Admission.FULL:
+        if admission is RunAdmission.FULL:
             detail = "too many calls to remember"
-            return Failure(ErrorKind.OVERLOADED, detail, _RETRY_AFTER_MS, Run.NO)
+            return Failure(ErrorKind.OVERLOADED, detail, _RETRY_AFTER_MS, RunStatus.NO)
         return Failure(ErrorKind.OUTCOME_UNKNOWN, "the call came before")
 
     def _end(self, incoming: _IncomingStream, call: IncomingCall) -> None:
--- a/packages/pepperstair-platform/pepperstair_platform/__init__.py
+++ b/packages/pepperstair-platform/pepperstair_platform/__init__.py
@@ -2,14 +2,19 @@
 
 from __future__ import annotations
 
-from .acceptance import Accepted, ChangeRequest, accept_change, repeat_change
+from .acceptance import (
+    Accepted,
+    ChangeRequest,
+    accept_change,
+    result_of_repeated_change,
+)
 from .coalescing import CoalescedRows
 from .platform import Compare, Platform, PlatformCounters, Row
 from .rows import (
     N_BUCKETS,
-    bells_prefix,
     bucket_of,
-    bucket_of_bell,
+    bucket_of_token_key,
+    bucket_tokens_prefix,
     head_from_row,
     head_key,
     head_prefix,
@@ -31,12 +36,12 @@
     "WatchedRows",
     "WatchedTable",
     "accept_change",
-    "bells_prefix",
+    "bucket_tokens_prefix",
     "bucket_of",
-    "bucket_of_bell",
+    "bucket_of_token_key",
     "head_from_row",
     "head_key",
     "head_prefix",
     "head_row",
-    "repeat_change",
+    "result_of_repeated_change",
 ]
--- a/packages/pepperstair-platform/pepperstair_platform/acceptance.py
+++ b/packages/pepperstair-platform/pepperstair_platform/acceptance.py
@@ -21,7 +21,7 @@
 from .platform import Compare, Platform, Row
 from .rows import (
     abandoned_row,
-    bell_key,
+    bucket_token_key,
     change_key,
     change_row,
     head_from_change,
@@ -90,7 +90,7 @@
     change = found.unwrap()
     committed = head_from_change(change)
     if committed is not None:
-        return repeat_change(committed, request)
+        return result_of_repeated_change(committed, request)
     read = await _read_row(platform, head_key(customer), customer)
     if read.is_err():
         return Err(_before_commit(request, read.unwrap_err()))
@@ -122,7 +122,7 @@
         Compare(head_key(head.customer), _value(attempt.head)),
         Compare(change_key(head.change_id), _value(attempt.change)),
     )
-    bell = Row(bell_key(head.customer), head.change_id)
+    bell = Row(bucket_token_key(head.customer), head.change_id)
     rows = (head_row(head), change_row(head), bell)
     committed = await attempt.platform.commit(compare, rows, head.customer)
     if committed.is_err():
@@ -153,7 +153,7 @@
         return Err(failure)
     committed = head_from_change(found.unwrap())
     if committed is not None:
-        return repeat_change(committed, attempt.request, is_repeat=False)
+        return result_of_repeated_change(committed, attempt.request, is_repeat=False)
     if _value(found.unwrap()) == fence.value:
         return Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE, failure.detail))
     return Err(failure)
@@ -169,7 +169,7 @@
         return Err(Failure(ErrorKind.CHANGE_OUTCOME_UNKNOWN, detail))
     committed = head_from_change(found.unwrap())
     if committed is not None:
-        return repeat_change(committed, attempt.request)
+        return result_of_repeated_change(committed, attempt.request)
     read = await _read_row(
         attempt.platform, head_key(attempt.customer), attempt.customer
     )
@@ -177,7 +177,7 @@
     return Err(_conflict(head_from_row(row).version if row else None))
 
 
-def repeat_change(
+def result_of_repeated_change(
     head: Head, request: ChangeRequest, *, is_repeat: bool = True
 ) -> Result[Accepted, Failure]:
     """Answer a change that took effect as `head` before.
@@ -219,4 +219,4 @@
     return Failure(ErrorKind.CONFLICT, f"start from {newest}")
 
 
-__all__ = ["Accepted", "ChangeRequest", "accept_change", "repeat_change"]
+__all__ = ["Accepted", "ChangeRequest", "accept_change", "result_of_repeated_change"]
--- a/packages/pepperstair-platform/pepperstair_platform/rows.py
+++ b/packages/pepperstair-platform/pepperstair_platform/rows.py
@@ -36,19 +36,19 @@
     return f"{head_prefix(bucket_of(customer))}{customer}"
 
 
-def bell_key(customer: str) -> str:
+def bucket_token_key(customer: str) -> str:
     """Return the key of the bell that a customer's changes touch."""
     return f"bell/{bucket_of(customer):02d}"
 
 
-def bells_prefix() -> str:
+def bucket_tokens_prefix() -> str:
     """Return the prefix of all bells."""
     return "bell/"
 
 
-def bucket_of_bell(row: Row) -> int:
+def bucket_of_token_key(row: Row) -> int:
     """Return the bucket that a bell's row stands for."""
-    return int(row.key.removeprefix(bells_prefix()))
+    return int(row.key.removeprefix(bucket_tokens_prefix()))
 
 
 def change_key(change_id: str) -> str:
@@ -94,10 +94,10 @@
 __all__ = [
     "N_BUCKETS",
     "abandoned_row",
-    "bell_key",
-    "bells_prefix",
+    "bucket_token_key",
+    "bucket_tokens_prefix",
     "bucket_of",
-    "bucket_of_bell",
+    "bucket_of_token_key",
     "change_key",
     "change_row",
     "head_from_change",
--- a/packages/pepperstair-targets/pepperstair_targets/__init__.py
+++ b/packages/pepperstair-targets/pepperstair_targets/__init__.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .announcements import handle_announcement
-from .ordered import (
+from .ordered_announcements import (
     HELD_UP_MAX_MS,
     LAST_SEQUENCE,
     Announcement,
--- a/packages/pepperstair-targets/pepperstair_targets/ordered.py
+++ b/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
@@ -42,7 +42,7 @@
 
 
 class Departure(Struct, frozen=True):
-    """That a target leaves, said at `noted_ms` in Unix milliseconds.
+    """That a target leaves, said at `recorded_ms` in Unix milliseconds.
 
     Its announcements up to this start and sequence count no more.
     """
@@ -50,7 +50,7 @@
     name: str
     start_ms: int
     sequence: int
-    noted_ms: int
+    recorded_ms: int
 
     @property
     def place(self) -> tuple[int, int]:
@@ -86,7 +86,7 @@
         self._newest_seen_ms = 0
         self._departures: dict[str, Departure] = {}
 
-    def take(self, announcement: Announcement) -> bool:
+    def accept(self, announcement: Announcement) -> bool:
         """Take an announcement, and return whether it changed or renewed anything."""
         target = announcement.target
         if not self._is_newer(announcement):
@@ -99,7 +99,7 @@
             return False
         newest = self._newest
         if newest is not None and newest.target.name != target.name:
-            self._registry.leave(newest.target.name)
+            self._registry.deregister(newest.target.name)
         self._newest = announcement
         self._newest_seen_ms = self._now_ms()
         if target.state is TargetState.DRAINING:
@@ -107,7 +107,7 @@
         self._registry.announce(target, self._newest_seen_ms)
         return True
 
-    def leave(self, name: str) -> bool:
+    def deregister(self, name: str) -> bool:
         """Take the deregistration of a target; that of an earlier one changes nothing.
 
         It is remembered also where the target is not known: after a restart of
@@ -118,7 +118,7 @@
         is_newest = newest is not None and newest.target.name == name
         start_ms = newest.start_ms if is_newest else self._wall_ms()
         self._note_departure(name, start_ms, LAST_SEQUENCE)
-        return is_newest and self._registry.leave(name)
+        return is_newest and self._registry.deregister(name)
 
     def departures(self) -> tuple[Departure, ...]:
         """Return who has said that it leaves, the last one last."""
@@ -159,7 +159,7 @@
         departure = self._departures.get(announcement.target.name)
         if departure is None or announcement.place > departure.place:
             return False
-        age_ms = self._wall_ms() - departure.noted_ms
+        age_ms = self._wall_ms() - departure.recorded_ms
         return bool(announcement.start_ms) or age_ms < HELD_UP_MAX_MS
 
     def _has_ended(self, newest: Announcement) -> bool:
--- a/packages/pepperstair-targets/pepperstair_targets/pool.py
+++ b/packages/pepperstair-targets/pepperstair_targets/pool.py
@@ -9,7 +9,7 @@
 import structlog
 
 from pepperstair_core.config import parse_address
-from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, RunStatus
 from pepperstair_core.events import Event
 from pepperstair_http import ClientConnection, connect
 
@@ -69,7 +69,9 @@
         try:
             return await self._connect(CONNECT_TIMEOUT_S)
         except (OSError, TimeoutError) as error:
-            failure = Failure(ErrorKind.TARGET_UNREACHABLE, str(error), run=Run.NO)
+            failure = Failure(
+                ErrorKind.TARGET_UNREACHABLE, str(error), run=RunStatus.NO
+            )
             raise PepperstairError(failure) from error
 
     async def is_refused(self, hold_s: float) -> bool:
--- a/packages/pepperstair-targets/pepperstair_targets/registry.py
+++ b/packages/pepperstair-targets/pepperstair_targets/registry.py
@@ -50,7 +50,7 @@
         log.info(event, target=target.name, state=target.state.value)
         self.on_changed()
 
-    def leave(self, name: str) -> bool:
+    def deregister(self, name: str) -> bool:
         """Remove a target, and say whether it was there."""
         if self._leases.pop(name, None) is None:
             return False
--- a/packages/pepperstair-targets/pepperstair_targets/runner.py
+++ b/packages/pepperstair-targets/pepperstair_targets/runner.py
@@ -8,16 +8,16 @@
 import structlog
 from msgspec.structs import replace
 
-from pepperstair_core.calls import CrashRecord, Load, Quarantine, Refused, Standing
+from pepperstair_core.calls import CrashRecord, Load, Quarantine, Refused, TrustLevel
 from pepperstair_core.decisions import Decision, DecisionKind, DecisionLog
-from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, RunStatus
 from pepperstair_core.events import Event
 from pepperstair_core.intent import Policy
 from pepperstair_core.members import Target, TargetState
 from pepperstair_core.wire import CallHead
 from pepperstair_http import BodyBuffer, StreamedResponse
 
-from .crashes import CrashWatch
+from .crash_detection import CrashWatch
 from .pool import ConnectionPool
 from .registry import TargetRegistry
 from .slots import SlotGate
@@ -145,14 +145,14 @@
         try:
             self._screen(head, local, admitted_ms)
         except PepperstairError:
-            local.gate.leave(head, None)
+            local.gate.deregister(head, None)
             raise
 
-        def leave(was_sent: bool) -> None:
+        def deregister(was_sent: bool) -> None:
             service_ms = self._now_ms() - admitted_ms if was_sent else None
-            local.gate.leave(head, service_ms)
+            local.gate.deregister(head, service_ms)
 
-        call = TargetCall(local.pool, head, body, leave, self._options)
+        call = TargetCall(local.pool, head, body, deregister, self._options)
         local.crashes.begin(call)
         try:
             response = await call.run(deadline_ms - admitted_ms)
@@ -167,7 +167,7 @@
         self._take_answer(head, response)
         return _with_wait(response, int(admitted_ms - start_ms))
 
-    def follow_registry(self) -> None:
+    def sync_with_registry(self) -> None:
         """Take what changed in the announced targets.
 
         Calls that wait for a target that is leaving are refused at once, as
@@ -204,12 +204,14 @@
         self._refuse_quarantined(head, now_ms)
 
         def is_suspect(fingerprint: bytes) -> bool:
-            standing = self._quarantine.standing(fingerprint, now_ms)
-            return standing is not Standing.TRUSTED
+            trust_level = self._quarantine.trust_level(fingerprint, now_ms)
+            return trust_level is not TrustLevel.TRUSTED
 
         if is_suspect(head.fingerprint) and local.crashes.runs_any(is_suspect):
             detail = f"{head.target}, it runs another suspect"
-            failure = Failure(ErrorKind.OVERLOADED, detail, _ISOLATED_RETRY_MS, Run.NO)
+            failure = Failure(
+                ErrorKind.OVERLOADED, detail, _ISOLATED_RETRY_MS, RunStatus.NO
+            )
             raise PepperstairError(failure)
 
     async def _explain_cut(
@@ -233,7 +235,7 @@
         """
         self.n_crashes += 1
         self.on_crash(local.target.name, cut)
-        self._registry.leave(local.target.name)
+        self._registry.deregister(local.target.name)
 
     def _take_answer(self, head: CallHead, response: StreamedResponse) -> None:
         if response.status >= _FAILED_STATUS or not response.body.is_whole:
@@ -325,7 +327,7 @@
         target=head.target,
         kind=failure.kind,
         cause=failure.detail,
-        run=failure.has_run,
+        run=failure.run_status,
         lasted_ms=round(lasted_ms, 1),
     )
 
@@ -353,7 +355,7 @@
 
 
 def _not_run(kind: ErrorKind, detail: str) -> PepperstairError:
-    return PepperstairError(Failure(kind, detail, run=Run.NO))
+    return PepperstairError(Failure(kind, detail, run=RunStatus.NO))
 
 
 __all__ = ["WAITED_HEADER", "LocalTarget", "PolicyOf", "TargetRunner"]
--- a/packages/pepperstair-targets/pepperstair_targets/slots.py
+++ b/packages/pepperstair-targets/pepperstair_targets/slots.py
@@ -19,7 +19,7 @@
     Verdict,
     WaitingCall,
 )
-from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, RunStatus
 from pepperstair_core.wire import CallHead
 
 log = structlog.get_logger(__name__)
@@ -163,7 +163,7 @@
     is_leaving = verdict.cause is RefusalCause.DRAINING
     kind = ErrorKind.DRAINING if is_leaving else ErrorKind.OVERLOADED
     detail = f"{target}, {verdict.cause.value}"
-    raise PepperstairError(Failure(kind, detail, verdict.retry_after_ms, Run.NO))
+    raise PepperstairError(Failure(kind, detail, verdict.retry_after_ms, RunStatus.NO))
 
 
 __all__ = ["SlotGate"]
--- a/packages/pepperstair-targets/pepperstair_targets/target_call.py
+++ b/packages/pepperstair-targets/pepperstair_targets/target_call.py
@@ -9,7 +9,7 @@
 import structlog
 from msgspec import Struct
 
-from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, Run
+from pepperstair_core.errors import ErrorKind, Failure, PepperstairError, RunStatus
 from pepperstair_core.wire import CallHead
 from pepperstair_http import (
     PRODUCT_HEADERS,
@@ -183,11 +183,13 @@
         if not names.signature:
             return
         if names.not_run and header_value(answer.headers, names.not_run):
-            failure = Failure(ErrorKind.TARGET_REFUSED, self._head.target, run=Run.NO)
+            failure = Failure(
+                ErrorKind.TARGET_REFUSED, self._head.target, run=RunStatus.NO
+            )
             raise PepperstairError(failure)
         is_signed = bool(header_value(answer.headers, names.signature))
         if answer.status == _MISDIRECTED and not is_signed:
-            failure = Failure(ErrorKind.NO_TARGET, self._head.target, run=Run.NO)
+            failure = Failure(ErrorKind.NO_TARGET, self._head.target, run=RunStatus.NO)
             raise PepperstairError(failure)
         is_encoded = bool(header_value(answer.headers, b"content-encoding"))
         if answer.status < 300 and (is_encoded or not is_signed):
@@ -253,10 +255,12 @@
         if isinstance(self._body_error, PepperstairError):
             failure = self._body_error.failure
             return PepperstairError(
-                Failure(failure.kind, failure.detail, run=Run.UNKNOWN)
+                Failure(failure.kind, failure.detail, run=RunStatus.UNKNOWN)
             )
         if not self._is_sent:
-            failure = Failure(ErrorKind.TARGET_UNREACHABLE, str(error), run=Run.NO)
+            failure = Failure(
+                ErrorKind.TARGET_UNREACHABLE, str(error), run=RunStatus.NO
+            )
             return PepperstairError(failure)
         return PepperstairError(Failure(ErrorKind.TARGET_FAILED, str(error)))
 
--- a/packages/pepperstaird/pepperstaird/configuration/agent.py
+++ b/packages/pepperstaird/pepperstaird/configuration/agent.py
@@ -15,9 +15,10 @@
 from pepperstair_core.config import PlatformSettings
 from pepperstair_core.decisions import Decision, DecisionKind, DecisionLog
 from pepperstair_core.distribution import (
+    AcknowledgementCollection,
     Action,
+    ApplyNext,
     ChangeAccepted,
-    Collection,
     Converged,
     Distribution,
     DistributionEvent,
@@ -25,15 +26,14 @@
     MembersChanged,
     NeighbourDown,
     NeighbourUp,
-    Note,
     Outbox,
     Paused,
     PutInForce,
+    RecordDecision,
     Reject,
     Send,
     Tick,
     Timing,
-    Work,
     collect,
 )
 from pepperstair_core.errors import ErrorKind, Failure
@@ -44,7 +44,7 @@
     RouteTable,
     apply_override,
     compile_routes,
-    overrides_of,
+    label_overrides_by_workload,
 )
 from pepperstair_core.versions import Snapshot
 from pepperstair_peers import ControlPlane
@@ -53,7 +53,7 @@
     ChangeRequest,
     Platform,
     accept_change,
-    repeat_change,
+    result_of_repeated_change,
 )
 
 from ..clock import monotonic_ms, wall_ms
@@ -160,7 +160,7 @@
         record = self.records.find_change(customer, change.change_id)
         if record is None:
             return None
-        return repeat_change(record.head, change)
+        return result_of_repeated_change(record.head, change)
 
     def versions(self) -> dict[str, int]:
         """Return the version in force of each customer."""
@@ -173,7 +173,7 @@
         """Return the snapshot in force of a customer."""
         return self._in_force.get(customer)
 
-    def collect(self, customer: str, version: int) -> Collection:
+    def collect(self, customer: str, version: int) -> AcknowledgementCollection:
         """Begin to collect where a version is in force, asking the fleet at once."""
         distribution = self.distribution
         return collect(
@@ -228,7 +228,7 @@
                 self._put_in_force(snapshot, learnt_from)
             case Reject():
                 self._report_rejected(action)
-            case Note(kind, subject, cause, figures):
+            case RecordDecision(kind, subject, cause, figures):
                 self._decide(kind, subject, cause, figures)
             case Converged():
                 self._report_converged(action)
@@ -237,7 +237,7 @@
 
     def _flush(self) -> None:
         """Send what waits, as long as each neighbour takes it."""
-        for vm in list(self._outbox.waiting()):
+        for vm in list(self._outbox.pending_vms()):
             while self._control.is_writable(vm):
                 frame = self._outbox.take(vm)
                 if frame is None:
@@ -247,7 +247,7 @@
     def _put_in_force(self, snapshot: Snapshot, learnt_from: str) -> None:
         head = snapshot.head
         self._in_force[head.customer] = snapshot
-        self.overrides = overrides_of(self._in_force.values())
+        self.overrides = label_overrides_by_workload(self._in_force.values())
         self.route_table = compile_routes(self._in_force.values(), self.proxy_labels())
         self.records.add(VersionRecord(head, learnt_from, wall_ms()))
         log.info(
@@ -314,7 +314,7 @@
             await self._has_work.wait()
             self._has_work.clear()
             while self.distribution.state.inbox:
-                self._handle(Work())
+                self._handle(ApplyNext())
                 await asyncio.sleep(0)
 
 
--- a/packages/pepperstaird/pepperstaird/configuration/source.py
+++ b/packages/pepperstaird/pepperstaird/configuration/source.py
@@ -10,13 +10,13 @@
 
 from pepperstair_core.distribution import (
     Action,
-    BellsRead,
+    BucketTokensRead,
     DistributionEvent,
     FetchObject,
     HeadRead,
     HeadsRead,
     ObjectFetched,
-    ReadBells,
+    ReadBucketTokens,
     ReadHead,
     ReadHeads,
 )
@@ -24,8 +24,8 @@
 from pepperstair_core.versions import Head
 from pepperstair_platform import (
     Platform,
-    bells_prefix,
-    bucket_of_bell,
+    bucket_of_token_key,
+    bucket_tokens_prefix,
     head_from_row,
     head_key,
     head_prefix,
@@ -75,8 +75,8 @@
 
     def _read(self, action: Action) -> Coroutine[Any, Any, DistributionEvent]:
         match action:
-            case ReadBells():
-                return self._read_bells()
+            case ReadBucketTokens():
+                return self._read_bucket_tokens()
             case ReadHeads(bucket, number):
                 return self._read_heads(bucket, number)
             case ReadHead(customer):
@@ -85,12 +85,14 @@
                 return self._fetch_object(head)
         raise TypeError(f"not a read: {action!r}")
 
-    async def _read_bells(self) -> DistributionEvent:
-        read = await self._platform.read_rows(bells_prefix())
+    async def _read_bucket_tokens(self) -> DistributionEvent:
+        read = await self._platform.read_rows(bucket_tokens_prefix())
         self._note(read.is_ok())
         if read.is_err():
-            return BellsRead(None)
-        return BellsRead({bucket_of_bell(row): row.value for row in read.unwrap()})
+            return BucketTokensRead(None)
+        return BucketTokensRead(
+            {bucket_of_token_key(row): row.value for row in read.unwrap()}
+        )
 
     async def _read_heads(self, bucket: int | None, number: int) -> DistributionEvent:
         prefix = _ALL_HEADS if bucket is None else head_prefix(bucket)
--- a/packages/pepperstaird/pepperstaird/counters.py
+++ b/packages/pepperstaird/pepperstaird/counters.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta, Struct, structs
 
-from pepperstair_core.calls import GiveUpCause, ZoneExit
+from pepperstair_core.calls import CrossZoneCause, GiveUpCause
 
 from .clock import precise_ms
 
@@ -233,10 +233,10 @@
         n_not_retried_budget=daemon.proxy.n_given_up[GiveUpCause.BUDGET],
         n_not_retried_no_other=daemon.proxy.n_given_up[GiveUpCause.NO_OTHER],
         n_not_retried_no_room=daemon.proxy.n_given_up[GiveUpCause.NO_ROOM],
-        n_calls_far_no_target=daemon.chooser.n_left_zone[ZoneExit.NO_TARGET],
-        n_calls_far_left_out=daemon.chooser.n_left_zone[ZoneExit.LEFT_OUT],
-        n_calls_far_full=daemon.chooser.n_left_zone[ZoneExit.FULL],
-        n_calls_far_slow=daemon.chooser.n_left_zone[ZoneExit.SLOW],
+        n_calls_far_no_target=daemon.chooser.n_cross_zone[CrossZoneCause.NO_TARGET],
+        n_calls_far_left_out=daemon.chooser.n_cross_zone[CrossZoneCause.EXCLUDED],
+        n_calls_far_full=daemon.chooser.n_cross_zone[CrossZoneCause.FULL],
+        n_calls_far_slow=daemon.chooser.n_cross_zone[CrossZoneCause.SLOW],
         n_streams_replaced=daemon.call_client.n_replaced_streams,
         n_frames_dropped=(
             daemon.call_client.n_dropped_frames + daemon.call_server.n_dropped_frames
--- a/packages/pepperstaird/pepperstaird/crash_reports.py
+++ b/packages/pepperstaird/pepperstaird/crash_reports.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from pepperstair_core.calls import CrashRecord, Quarantine, Standing
+from pepperstair_core.calls import CrashRecord, Quarantine, TrustLevel
 from pepperstair_core.decisions import Decision, DecisionKind, DecisionLog
 from pepperstair_core.events import Event
 from pepperstair_core.wire import CrashRecords
@@ -107,8 +107,8 @@
             yield record
 
     def _is_quarantined(self, record: CrashRecord) -> bool:
-        standing = self._quarantine.standing(record.fingerprint, self._now_ms())
-        return standing is Standing.QUARANTINED
+        trust_level = self._quarantine.trust_level(record.fingerprint, self._now_ms())
+        return trust_level is TrustLevel.QUARANTINED
 
     def _note_quarantined(self, quarantined: bytes) -> None:
         """Say that a request is quarantined; keep it where a target here has crashed.
--- a/packages/pepperstaird/pepperstaird/daemon.py
+++ b/packages/pepperstaird/pepperstaird/daemon.py
@@ -176,8 +176,8 @@
             self.identity,
             settings.peers.frame_max_bytes,
             {
-                StreamKind.CONTROL: self.control.take_stream,
-                StreamKind.DATA: self.call_server.take_stream,
+                StreamKind.CONTROL: self.control.serve_stream,
+                StreamKind.DATA: self.call_server.serve_stream,
             },
             self.frame_counters,
         )
@@ -236,10 +236,10 @@
     def _take_members(self) -> None:
         self._members_timer = None
         self.configuration.members_changed()
-        self._forgive_returned()
+        self._clear_ejections_of_returned()
         self._renew_endpoints()
 
-    def _forgive_returned(self) -> None:
+    def _clear_ejections_of_returned(self) -> None:
         """Use targets again whose VM has come back since they were ejected.
 
         The ejection of a target that nobody could reach may last for half a
@@ -252,7 +252,7 @@
         }
         for vm, incarnation in returned.items():
             if self._alive.get(vm) != incarnation:
-                self.chooser.forgive(vm)
+                self.chooser.clear_ejection(vm)
         self._alive = returned
 
     def _on_paused(self) -> None:
@@ -336,7 +336,7 @@
 
     def publish_targets(self) -> None:
         """Tell the fleet which targets this VM has, and whether it leaves."""
-        self.runner.follow_registry()
+        self.runner.sync_with_registry()
         targets = self.registry.targets()
         if self.is_stopping:
             targets = tuple(
--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -108,7 +108,7 @@
             if row.key != self._key and _newest_ms(row) < oldest_ms
         ]
         kept = [item for row in rows for item in _iter_departures(row)]
-        kept = [item for item in kept if item.noted_ms >= oldest_ms]
+        kept = [item for item in kept if item.recorded_ms >= oldest_ms]
         self._announcements.restore(kept)
         if kept:
             self._saved |= self._wanted()
@@ -120,7 +120,7 @@
         await asyncio.shield(self._reading())
         oldest_ms = self._wall_ms() - KEPT_MS
         departures = self._announcements.departures()
-        kept = [astuple(item) for item in departures if item.noted_ms >= oldest_ms]
+        kept = [astuple(item) for item in departures if item.recorded_ms >= oldest_ms]
         row = Row(self._key, json.dumps(kept))
         await call_until_answered(lambda: self._table.commit((), (row,)))
         await self._delete_old()
@@ -134,15 +134,15 @@
 def _iter_departures(row: Row) -> Iterator[Departure]:
     """Yield what a row says; another release may write what can't be read."""
     try:
-        for name, start_ms, sequence, noted_ms in parse_json(row.value):
-            yield Departure(str(name), int(start_ms), int(sequence), int(noted_ms))
+        for name, start_ms, sequence, recorded_ms in parse_json(row.value):
+            yield Departure(str(name), int(start_ms), int(sequence), int(recorded_ms))
     except (ValueError, TypeError) as error:
         log.warning(Event.ANNOUNCEMENT_IGNORED, target=row.key, cause=repr(error))
 
 
 def _newest_ms(row: Row) -> int:
     """Return when the last departure of a row was noted, 0 if it can't be read."""
-    return max((item.noted_ms for item in _iter_departures(row)), default=0)
+    return max((item.recorded_ms for item in _iter_departures(row)), default=0)
 
 
 __all__ = ["KEPT_MS", "WAIT_MAX_S", "DepartureRows"]
--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -10,7 +10,7 @@
 
 from pepperstair_core.document_delta import apply_delta, make_delta
 from pepperstair_core.events import Event
-from pepperstair_core.following import Following, Offer
+from pepperstair_core.following import FollowedDocumentState, OfferResult
 from pepperstair_core.shared_reading import ReadSchedule
 from pepperstair_core.wire import (
     DocumentCopy,
@@ -18,8 +18,8 @@
     DocumentFresh,
     DocumentHave,
     DocumentPull,
-    pack,
-    unpack,
+    compress,
+    decompress,
 )
 from pepperstair_peers import ControlPlane
 
@@ -51,8 +51,8 @@
     def __init__(
         self,
         control: ControlPlane,
-        following: Following,
-        offer: Callable[[bytes, str], Offer],
+        following: FollowedDocumentState,
+        offer: Callable[[bytes, str], OfferResult],
         is_watching: Callable[[], bool],
         schedule: ReadSchedule | None,
     ) -> None:
@@ -63,8 +63,8 @@
         self._schedule = schedule
         self._kept: dict[int, bytes] = {}
         # The document in force, and by older version what has changed since.
-        self._packed = b""
-        self._packed_deltas: dict[int, bytes] = {}
+        self._compressed = b""
+        self._compressed_deltas: dict[int, bytes] = {}
         # Neighbours that asked for a version that is not here yet, and what they hold.
         self._waiting: dict[str, int] = {}
         self._announced = 0
@@ -97,8 +97,8 @@
         self._kept[document.version] = document.data
         for version in sorted(self._kept)[:-_N_KEPT_MAX]:
             del self._kept[version]
-        self._packed = b""
-        self._packed_deltas.clear()
+        self._compressed = b""
+        self._compressed_deltas.clear()
         waiting, self._waiting = self._waiting, {}
         for vm, held_version in waiting.items():
             self._answer_pull(vm, held_version)
@@ -204,18 +204,18 @@
         """Return what a neighbour with some version lacks; packed once for all."""
         data = self._following.document.data
         position, age_ms = self.position or 0, self.age_ms()
-        self._packed = self._packed or pack(data)
+        self._compressed = self._compressed or compress(data)
         if held_version in self._kept:
-            packed = self._packed_deltas.get(held_version)
-            if packed is None:
-                packed = pack(make_delta(self._kept[held_version], data))
-                self._packed_deltas[held_version] = packed
-            if len(packed) <= _DELTA_MAX_SHARE * len(self._packed):
-                return DocumentDelta(held_version, packed, position, age_ms)
-        return DocumentCopy(self._packed, position, age_ms)
+            compressed = self._compressed_deltas.get(held_version)
+            if compressed is None:
+                compressed = compress(make_delta(self._kept[held_version], data))
+                self._compressed_deltas[held_version] = compressed
+            if len(compressed) <= _DELTA_MAX_SHARE * len(self._compressed):
+                return DocumentDelta(held_version, compressed, position, age_ms)
+        return DocumentCopy(self._compressed, position, age_ms)
 
     def _take_copy(self, vm: str, copy: DocumentCopy) -> None:
-        data = unpack(copy.packed)
+        data = decompress(copy.compressed)
         if data is None:
             log.warning(Event.FRAME_REJECTED, peer=vm, reason="a damaged document")
             return
@@ -230,7 +230,7 @@
         document = self._following.document
         if document is None or delta.base_version != document.version:
             return
-        changes = unpack(delta.packed)
+        changes = decompress(delta.compressed)
         data = None if changes is None else apply_delta(document.data, changes)
         if data is None:
             log.warning(Event.FRAME_REJECTED, peer=vm, reason="a damaged delta")
@@ -246,9 +246,9 @@
         self, vm: str, data: bytes, frame: DocumentCopy | DocumentDelta
     ) -> None:
         offer = self._offer(data, vm)
-        if offer in (Offer.REJECTED, Offer.REJECTED_BEFORE):
+        if offer in (OfferResult.REJECTED, OfferResult.REJECTED_BEFORE):
             self._rejected = self._heard
-        if offer is not Offer.IN_FORCE:
+        if offer is not OfferResult.IN_FORCE:
             return
         # The neighbour has seen no newer one up to there; watched from an
         # earlier position, the source would send this version once more.
--- a/packages/pepperstaird/pepperstaird/follower.py
+++ b/packages/pepperstaird/pepperstaird/follower.py
@@ -16,11 +16,15 @@
 from pepperstair_core.following import (
     DocumentReader,
     FollowedDocument,
-    Following,
-    Offer,
+    FollowedDocumentState,
+    OfferResult,
 )
 from pepperstair_core.labels import Labels
-from pepperstair_core.routing import RouteTable, compile_routes, overrides_of
+from pepperstair_core.routing import (
+    RouteTable,
+    compile_routes,
+    label_overrides_by_workload,
+)
 from pepperstair_core.shared_reading import ReadSchedule
 from pepperstair_core.versions import Head, Snapshot
 from pepperstair_peers import ControlPlane
@@ -59,7 +63,7 @@
 _WATCHED_MAX_S: Final = 0.2
 _LOOK_STEP_S: Final = 0.5
 _EXPIRED: Final = ErrorKind.WATCH_EXPIRED
-_BAD: Final = (Offer.REJECTED, Offer.REJECTED_BEFORE)
+_BAD: Final = (OfferResult.REJECTED, OfferResult.REJECTED_BEFORE)
 
 
 class ConfigurationFollower:
@@ -95,7 +99,7 @@
         self._on_document = on_document
         self._table = table
         self._key = key
-        self._following = Following(read)
+        self._following = FollowedDocumentState(read)
         self._proxy_labels = proxy_labels
         self._control = control
         self._decisions = decisions
@@ -205,7 +209,7 @@
             failure = read.unwrap_err()
             exchange.position = None
             if self.schedule is not None and failure.kind is not _EXPIRED:
-                self.schedule.fail(boot_ms())
+                self.schedule.record_read_failure(boot_ms())
             if failure.kind is _EXPIRED:
                 continue
             self._note_table(failure)
@@ -311,11 +315,11 @@
             if is_good:
                 return
 
-    def _offer(self, data: bytes, learnt_from: str) -> Offer:
+    def _offer(self, data: bytes, learnt_from: str) -> OfferResult:
         offer = self._following.offer(data)
-        if offer is Offer.IN_FORCE:
+        if offer is OfferResult.IN_FORCE:
             self._put_in_force(learnt_from)
-        elif offer is Offer.REJECTED:
+        elif offer is OfferResult.REJECTED:
             self._report_rejected(learnt_from)
         else:
             self.n_ignored += 1
@@ -328,7 +332,7 @@
         customer = document.intent.customer
         head = Head(customer, document.version, "", wall_ms(), learnt_from, "")
         self._snapshot = Snapshot(head, document.data, document.intent)
-        self.overrides = overrides_of((self._snapshot,))
+        self.overrides = label_overrides_by_workload((self._snapshot,))
         self.route_table = compile_routes((self._snapshot,), self._proxy_labels)
         log.info(
             Event.VERSION_IN_FORCE,
--- a/packages/pepperstaird/pepperstaird/member_rows.py
+++ b/packages/pepperstaird/pepperstaird/member_rows.py
@@ -125,7 +125,7 @@
         rows = await self._read_rows()
         if rows is None:
             return False
-        dead = list(self._sweep.iter_dead(self._directory, rows))
+        dead = list(self._sweep.iter_stale_vms(self._directory, rows))
         await delete_some(self._platform, map(_key, dead))
         return True
 
--- a/packages/pepperstaird/pepperstaird/operations.py
+++ b/packages/pepperstaird/pepperstaird/operations.py
@@ -57,7 +57,7 @@
         return json_reply({"lease_ms": taken.unwrap()})
 
     async def delete_target(request: OperatorRequest) -> OperatorReply:
-        if not daemon.registry.leave(request.name):
+        if not daemon.registry.deregister(request.name):
             return failure_reply(Failure(ErrorKind.NOT_FOUND, request.name))
         return json_reply({})
 
--- a/packages/pepperstaird/pepperstaird/proxying.py
+++ b/packages/pepperstaird/pepperstaird/proxying.py
@@ -38,7 +38,7 @@
             return daemon.runner.load_of(endpoint.target.name)
         return daemon.call_client.load_of(endpoint.peer_address, endpoint.target.name)
 
-    async def carry(
+    async def send_attempt(
         endpoint: Endpoint, head: CallHead, body: BodyBuffer
     ) -> StreamedResponse:
         if endpoint.vm == vm:
@@ -56,9 +56,9 @@
         endpoints=endpoints,
         chooser=daemon.chooser,
         load_of=load_of,
-        carry=carry,
+        send_attempt=send_attempt,
         is_ready=daemon.is_ready,
-        is_joining=lambda: precise_ms() - daemon.started_ms < JOINING_MS,
+        is_starting=lambda: precise_ms() - daemon.started_ms < JOINING_MS,
         on_outcome=count_outcome,
         is_draining=lambda: daemon.runner.is_draining,
         time_to_stop_ms=lambda: daemon.stop_ends_ms - precise_ms(),
--- a/packages/pepperstaird/pepperstaird/quarantine_rows.py
+++ b/packages/pepperstaird/pepperstaird/quarantine_rows.py
@@ -67,12 +67,14 @@
         rows = await call_until_answered(lambda: self._table.read_rows(_PREFIX))
         oldest_ms = self._wall_ms() - QUARANTINE_MAX_MS
         kept = [
-            (row, record, noted_ms)
+            (row, record, recorded_ms)
             for row in rows
-            for record, noted_ms in _iter_records(row)
+            for record, recorded_ms in _iter_records(row)
         ]
-        self._on_read(found for _, found, noted_ms in kept if noted_ms >= oldest_ms)
-        old = (row.key for row, _, noted_ms in kept if noted_ms < oldest_ms)
+        self._on_read(
+            found for _, found, recorded_ms in kept if recorded_ms >= oldest_ms
+        )
+        old = (row.key for row, _, recorded_ms in kept if recorded_ms < oldest_ms)
         await delete_some(self._table, old)
 
     async def _write(self, record: CrashRecord) -> None:
@@ -89,8 +91,8 @@
     """Yield what a row says; another release may write what can't be read."""
     try:
         fingerprint = bytes.fromhex(row.key.removeprefix(_PREFIX))
-        crash_ids, noted_ms = parse_json(row.value)
-        yield CrashRecord(fingerprint, tuple(map(str, crash_ids))), int(noted_ms)
+        crash_ids, recorded_ms = parse_json(row.value)
+        yield CrashRecord(fingerprint, tuple(map(str, crash_ids))), int(recorded_ms)
     except (ValueError, TypeError) as error:
         log.warning(Event.ROW_IGNORED, key=row.key, cause=repr(error))
 
--- a/packages/pepperstaird/pepperstaird/stopping.py
+++ b/packages/pepperstaird/pepperstaird/stopping.py
@@ -60,7 +60,7 @@
             await asyncio.sleep(_FLUSH_S)
             return
         await asyncio.sleep(_DRAIN_CHECK_S)
-    daemon.proxy.end_all()
+    daemon.proxy.fail_pending()
     await asyncio.sleep(_FLUSH_S)
 
 
--- a/tests/call_load.py
+++ b/tests/call_load.py
@@ -23,7 +23,7 @@
     WaitingCall,
     decide_retry,
 )
-from pepperstair_core.errors import ErrorKind, Failure, Run
+from pepperstair_core.errors import ErrorKind, Failure, RunStatus
 from pepperstair_core.intent import Policy
 from pepperstair_core.members import Target, TargetState
 from pepperstair_core.routing import Endpoint
@@ -135,7 +135,7 @@
 
     def _begin(self, call):
         self.budget.add_call(10)
-        self._attempt(call, 1, frozenset(), Run.NO)
+        self._attempt(call, 1, frozenset(), RunStatus.NO)
 
     def _attempt(self, call, n_attempts, excluded, run):
         load_of = lambda item: self.loads[self.index_of[item.key]]
@@ -194,7 +194,7 @@
             else:
                 self._end(ticket, EndKind.GOOD, service_ms)
                 is_good = self.now_ms <= call.at_ms + call.timeout_ms
-                self._answer(call, Run.YES, is_good)
+                self._answer(call, RunStatus.YES, is_good)
             self._apply(admission, verdicts)
 
         self._at(self.now_ms + service_ms, end)
@@ -217,15 +217,15 @@
         )
         decision = self.retry(attempt, self.budget, self.rng)
         if isinstance(decision, GiveUp):
-            self._answer(call, attempt.has_run, is_good=False)
+            self._answer(call, attempt.run_status, is_good=False)
             return
         self.report.n_retries += 1
-        act = lambda: self._attempt(call, n_attempts + 1, excluded, attempt.has_run)
+        act = lambda: self._attempt(call, n_attempts + 1, excluded, attempt.run_status)
         self._at(self.now_ms + decision.delay_ms, act)
 
     def _answer(self, call, run, is_good):
         self.report.n_answers[call.call_id] += 1
-        if run is Run.NO:
+        if run is RunStatus.NO:
             self.report.told_not_run.add(call.call_id)
         if is_good:
             self.report.n_good[call.priority] += 1
--- a/tests/call_mesh.py
+++ b/tests/call_mesh.py
@@ -31,7 +31,9 @@
 Answer = Callable[["RawTarget", asyncio.StreamWriter, bytes], Awaitable[None]]
 
 
-def http(body: bytes = b"", status: str = "200 OK", length: int | None = None) -> bytes:
+def http_answer(
+    body: bytes = b"", status: str = "200 OK", length: int | None = None
+) -> bytes:
     """Return the bytes of an answer, which may state a false length."""
     n_bytes = len(body) if length is None else length
     return f"HTTP/1.1 {status}\r\ncontent-length: {n_bytes}\r\n\r\n".encode() + body
@@ -39,7 +41,7 @@
 
 async def answer_ok(target: RawTarget, writer: asyncio.StreamWriter, head: bytes):
     """Answer with the target's name."""
-    writer.write(http(target.name.encode()))
+    writer.write(http_answer(target.name.encode()))
 
 
 class RawTarget:
@@ -130,7 +132,7 @@
         self.decisions = DecisionLog()
         self.is_draining = False
         self.time_to_stop_ms = math.inf
-        self.is_joining = False
+        self.is_starting = False
         self.is_known = True
         self.fingerprints: list[bytes] = []
         self.context = self._context(body_max_bytes)
@@ -170,7 +172,7 @@
             self.decisions,
             self.options,
         )
-        registry.on_changed = runner.follow_registry
+        registry.on_changed = runner.sync_with_registry
         self.nodes[name] = Node(runner, registry, target)
         self.announce(name)
         return raw
@@ -209,9 +211,9 @@
             endpoints=lambda compiled: self.endpoints(),
             chooser=TargetChooser("z", rng),
             load_of=lambda endpoint: None,
-            carry=self._carry,
+            send_attempt=self._carry,
             is_ready=lambda: self.is_known,
-            is_joining=lambda: self.is_joining,
+            is_starting=lambda: self.is_starting,
             is_draining=lambda: self.is_draining,
             time_to_stop_ms=lambda: self.time_to_stop_ms,
             on_outcome=self.outcomes.append,
@@ -226,14 +228,14 @@
         )
 
 
-async def seen(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Wait until a condition holds."""
     async with asyncio.timeout(5):
         while not condition():
             await asyncio.sleep(0.005)
 
 
-def run_of(response: Response) -> tuple[int, str]:
+def status_and_run(response: Response) -> tuple[int, str]:
     """Return status and what the answer says of whether the request ran."""
     return response.status, header_value(response.headers, b"pepperstair-run").decode()
 
--- a/tests/distribution/fake_network.py
+++ b/tests/distribution/fake_network.py
@@ -138,9 +138,9 @@
         for action in node.distribution.handle(event, self.now_ms):
             node.actions.append(action)
             self._carry_out(vm, node, action)
-        if node.distribution.state.inbox and not isinstance(event, d.Work):
+        if node.distribution.state.inbox and not isinstance(event, d.ApplyNext):
             while node.distribution.state.inbox:
-                self.handle(vm, d.Work())
+                self.handle(vm, d.ApplyNext())
 
     def deliver(self, sender: str, receiver: str, frame: Any) -> None:
         """Hand a frame to a daemon now."""
@@ -155,9 +155,9 @@
                 assert digest_of(snapshot.body) == head.digest
                 node.in_force[head.customer] = snapshot
                 node.history.setdefault(head.customer, []).append(head.version)
-            case d.ReadBells():
+            case d.ReadBucketTokens():
                 bells = dict(self.bells)
-                self._answer(vm, node, d.BellsRead(self._if_up(bells)))
+                self._answer(vm, node, d.BucketTokensRead(self._if_up(bells)))
             case d.ReadHeads(bucket, number):
                 heads = tuple(
                     head
--- a/tests/fake_network.py
+++ b/tests/fake_network.py
@@ -141,7 +141,7 @@
             return
         pair = frozenset((vm, address))
         if pair in self.streams:
-            membership.settle(address)
+            membership.mark_reached(address)
             return
         self.streams.add(pair)
         self.act(vm, membership.open(address, address, True, self.now_ms))
--- a/tests/naive/calls.py
+++ b/tests/naive/calls.py
@@ -25,7 +25,7 @@
         """Learn nothing."""
 
 
-class EndlessQueue:
+class UnboundedQueue:
     """Lets every call wait in the order of arrival, for however long."""
 
     def __init__(self, n_slots: int) -> None:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -78,7 +78,7 @@
         self.listener = PeerListener(
             Identity("server", next(_start_ids), address),
             FRAME_MAX_BYTES,
-            {StreamKind.DATA: self.calls.take_stream},
+            {StreamKind.DATA: self.calls.serve_stream},
             self.frame_counters,
         )
         host, port = parse_address(address)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -19,7 +19,7 @@
 )
 from pepperstair_core.calls.fair_queue import FairQueue
 from pepperstair_core.calls.retry import GiveUpCause
-from pepperstair_core.errors import ErrorKind, Failure, Run
+from pepperstair_core.errors import ErrorKind, Failure, RunStatus
 
 
 def call(ticket, customer="a", priority="normal", deadline_ms=10_000, n_queued_max=2):
@@ -133,9 +133,9 @@
     ("failed", "cause"),
     [
         (attempt(ErrorKind.TARGET_FAILED), GiveUpCause.MAY_HAVE_RUN),
-        (attempt(ErrorKind.DRAINING, Run.UNKNOWN), GiveUpCause.MAY_HAVE_RUN),
+        (attempt(ErrorKind.DRAINING, RunStatus.UNKNOWN), GiveUpCause.MAY_HAVE_RUN),
         (
-            attempt(ErrorKind.DRAINING, earlier_run=Run.UNKNOWN),
+            attempt(ErrorKind.DRAINING, earlier_run=RunStatus.UNKNOWN),
             GiveUpCause.MAY_HAVE_RUN,
         ),
         (attempt(ErrorKind.BODY_TOO_LARGE), GiveUpCause.FINAL),
@@ -158,8 +158,8 @@
     Told `no`, the caller would send a request again that may have run. Seen as
     a failure of the differential test of retries before attempts were added up.
     """
-    failed = attempt(ErrorKind.OVERLOADED, earlier_run=Run.UNKNOWN)
-    assert failed.has_run is Run.UNKNOWN
+    failed = attempt(ErrorKind.OVERLOADED, earlier_run=RunStatus.UNKNOWN)
+    assert failed.run_status is RunStatus.UNKNOWN
 
 
 def test_budget_ends_retries_during_an_outage():
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -18,7 +18,7 @@
 from pepperstair_core.burn.counts import N_CUSTOMERS_MAX, OTHER_CUSTOMERS
 from pepperstair_core.burn.report import make_burn_report
 from pepperstair_core.calls import CallOutcome
-from pepperstair_core.errors import ErrorKind, Run
+from pepperstair_core.errors import ErrorKind, RunStatus
 from pepperstair_core.intent import Objectives
 
 MINUTE_MS = 60_000
@@ -32,7 +32,7 @@
     error: ErrorKind | None = None, priority: str = "urgent", customer: str = "lantern"
 ) -> CallOutcome:
     """Return a call that ended with an error or, without one, well."""
-    return CallOutcome(customer, "award", priority, 200, error, Run.YES, 2.0, 0)
+    return CallOutcome(customer, "award", priority, 200, error, RunStatus.YES, 2.0, 0)
 
 
 def report_of(counts: BurnCounts, now_ms: int, missing: tuple[str, ...] = ()):
--- a/tests/test_call_decisions_against_naive.py
+++ b/tests/test_call_decisions_against_naive.py
@@ -16,7 +16,7 @@
     merge_calls,
     poisson_calls,
 )
-from tests.naive.calls import EndlessQueue, RandomChooser, retry_blindly
+from tests.naive.calls import RandomChooser, UnboundedQueue, retry_blindly
 
 SEEDS = range(4)
 UNTIL_MS = 5_000
@@ -57,7 +57,7 @@
     for seed in SEEDS:
         calls = mixed_load(seed, load, 2)
         chosen = Simulation(CHOSEN, 2, Faults(), seed).run(calls)
-        naive = Simulation(Decisions(admission=EndlessQueue), 2, Faults(), seed)
+        naive = Simulation(Decisions(admission=UnboundedQueue), 2, Faults(), seed)
         other = naive.run(calls)
         assert_invariants(chosen, calls)
         n_urgent = sum(call.priority == "urgent" for call in calls)
@@ -70,7 +70,7 @@
     assert sums[0] <= sums[1]
 
 
-@pytest.mark.parametrize("admission", [EndlessQueue, CHOSEN.admission])
+@pytest.mark.parametrize("admission", [UnboundedQueue, CHOSEN.admission])
 def test_flood_of_one_customer_leaves_the_small_ones_alone(admission):
     """One customer sends ten times what all others together send.
 
@@ -94,13 +94,13 @@
         alone = Simulation(decisions, 1, Faults(), seed).run(small)
         beside = Simulation(decisions, 1, Faults(), seed).run(flooded)
         late += p99(beside, "small") - p99(alone, "small")
-        if admission is not EndlessQueue:
+        if admission is not UnboundedQueue:
             n_small = sum(call.customer != "large" for call in flooded)
             n_good = sum(len(beside.latencies_ms[f"small-{i}"]) for i in (1, 2))
             assert n_good == n_small
             assert p99(beside, "small") <= 1.5 * p99(alone, "small")
     # The same load does harm with the naive queue: the test can tell them apart.
-    assert (late / len(SEEDS) > 500) is (admission is EndlessQueue)
+    assert (late / len(SEEDS) > 500) is (admission is UnboundedQueue)
 
 
 def p99(report: Report, prefix: str) -> float:
--- a/tests/test_call_failures.py
+++ b/tests/test_call_failures.py
@@ -10,7 +10,7 @@
 
 from pepperstair_core.calls import GiveUpCause
 from pepperstair_core.decisions import DecisionKind
-from pepperstair_core.errors import ErrorKind, Run
+from pepperstair_core.errors import ErrorKind, RunStatus
 from pepperstair_core.intent import Policy
 from pepperstair_core.members import TargetState
 from pepperstair_http import ConnectionLostError
@@ -19,10 +19,10 @@
     LEASE_MS,
     Mesh,
     answer_ok,
-    http,
+    http_answer,
     retry_after_ms,
-    run_of,
-    seen,
+    status_and_run,
+    wait_until,
 )
 
 BIG = bytes(200_000)
@@ -40,7 +40,7 @@
 
 async def cut_body(target, writer, head):
     """Send half of the answer that was stated."""
-    writer.write(http(b"half", length=8))
+    writer.write(http_answer(b"half", length=8))
     await writer.drain()
     writer.close()
 
@@ -76,10 +76,10 @@
         await mesh.add("a", cut_body)
         with pytest.raises(ConnectionLostError):
             await mesh.call()
-        await seen(lambda: mesh.outcomes)
+        await wait_until(lambda: mesh.outcomes)
         assert len(mesh.raw["a"].heads) == 1
         outcome = mesh.outcomes[0]
-        assert (outcome.error, outcome.run) == (ErrorKind.TARGET_FAILED, Run.YES)
+        assert (outcome.error, outcome.run) == (ErrorKind.TARGET_FAILED, RunStatus.YES)
 
 
 @pytest.mark.parametrize("is_idempotent", [False, True])
@@ -96,10 +96,10 @@
             await mesh.add(name, cut_before_head)
         response = await mesh.call(body=b"booking")
         n_runs = sum(len(raw.heads) for raw in mesh.raw.values())
-        assert run_of(response) == (502, "unknown")
+        assert status_and_run(response) == (502, "unknown")
         assert n_runs == (2 if is_idempotent else 1)
         assert mesh.outcomes[0].n_retries == (1 if is_idempotent else 0)
-        assert mesh.outcomes[0].run is Run.UNKNOWN
+        assert mesh.outcomes[0].run is RunStatus.UNKNOWN
 
 
 @pytest.mark.parametrize("is_idempotent", [False, True])
@@ -119,18 +119,18 @@
         if target.writers.index(writer) == 0 and len(target.heads) > 1:
             writer.transport.abort()
         else:
-            writer.write(http(b"ok"))
+            writer.write(http_answer(b"ok"))
 
     async with Mesh(is_idempotent=is_idempotent) as mesh:
         raw = await mesh.add("a", once)
-        assert run_of(await mesh.call("GET")) == (200, "yes")
+        assert status_and_run(await mesh.call("GET")) == (200, "yes")
         expected = (200, "yes") if is_idempotent else (502, "unknown")
-        assert run_of(await mesh.call("GET")) == expected
+        assert status_and_run(await mesh.call("GET")) == expected
         assert len(raw.heads) == (3 if is_idempotent else 2)
 
 
 @on_loop
-async def test_target_that_worked_on_a_request_does_not_get_it_twice_for_one_attempt():
+async def test_request_that_may_have_run_is_not_resent_within_one_attempt():
     """A target runs a request on a kept connection and then loses the answer.
 
     Sent once more on a new connection it would run a second time, which neither the
@@ -143,12 +143,12 @@
             await asyncio.sleep(2 * target_call.DROPPED_MS / 1000)
             writer.transport.abort()
         else:
-            writer.write(http(b"ok"))
+            writer.write(http_answer(b"ok"))
 
     async with Mesh(is_idempotent=True) as mesh:
         raw = await mesh.add("a", lose_the_second)
-        assert run_of(await mesh.call("GET")) == (200, "yes")
-        assert run_of(await mesh.call("GET")) == (502, "unknown")
+        assert status_and_run(await mesh.call("GET")) == (200, "yes")
+        assert status_and_run(await mesh.call("GET")) == (502, "unknown")
         assert len(raw.heads) == 2
 
 
@@ -161,7 +161,7 @@
         await mesh.call()
         raw.writers[0].transport.abort()
         await asyncio.sleep(0.05)
-        assert run_of(await mesh.call()) == (200, "yes")
+        assert status_and_run(await mesh.call()) == (200, "yes")
         assert len(raw.writers) == 2
 
 
@@ -178,11 +178,11 @@
             await mesh.add(name)
         await mesh.raw["a"].close()
         answers = [await mesh.call(body=b"award") for _ in range(8)]
-        assert {run_of(answer) for answer in answers} == {(200, "yes")}
+        assert {status_and_run(answer) for answer in answers} == {(200, "yes")}
         assert any(outcome.n_retries for outcome in mesh.outcomes)
         await mesh.raw["b"].close()
         refused = await mesh.call()
-        assert run_of(refused) == (503, "no")
+        assert status_and_run(refused) == (503, "no")
         assert retry_after_ms(refused) > 0
 
 
@@ -197,15 +197,15 @@
     async with Mesh() as mesh:
         raw = await mesh.add("a", never, n_slots=1)
         leaving = asyncio.ensure_future(mesh.call())
-        await seen(lambda: raw.heads)
+        await wait_until(lambda: raw.heads)
         waiting = asyncio.ensure_future(mesh.call())
         admission = mesh.nodes["a"].runner.loads
-        await seen(lambda: admission() == (("a", 1, 1),))
+        await wait_until(lambda: admission() == (("a", 1, 1),))
         waiting.cancel()
-        await seen(lambda: admission() == (("a", 1, 0),))
+        await wait_until(lambda: admission() == (("a", 1, 0),))
         leaving.cancel()
-        await seen(lambda: raw.n_closed == 1)
-        await seen(lambda: admission() == (("a", 0, 0),))
+        await wait_until(lambda: raw.n_closed == 1)
+        await wait_until(lambda: admission() == (("a", 0, 0),))
         kinds = [outcome.error for outcome in mesh.outcomes]
         assert kinds == [ErrorKind.CANCELLED, ErrorKind.CANCELLED]
 
@@ -222,19 +222,19 @@
 
     async def answer(target, writer, head):
         await finish.wait()
-        writer.write(http(b"done"))
+        writer.write(http_answer(b"done"))
 
     async with Mesh() as mesh:
         raw = await mesh.add("a", answer, n_slots=1)
         running = asyncio.ensure_future(mesh.call())
-        await seen(lambda: raw.heads)
+        await wait_until(lambda: raw.heads)
         waiting = asyncio.ensure_future(mesh.call())
-        await seen(lambda: mesh.nodes["a"].runner.loads() == (("a", 1, 1),))
+        await wait_until(lambda: mesh.nodes["a"].runner.loads() == (("a", 1, 1),))
         mesh.announce("a", TargetState.DRAINING)
-        assert run_of(await waiting) == (503, "no")
-        assert run_of(await mesh.call()) == (503, "no")
+        assert status_and_run(await waiting) == (503, "no")
+        assert status_and_run(await mesh.call()) == (503, "no")
         finish.set()
-        assert run_of(await running) == (200, "yes")
+        assert status_and_run(await running) == (200, "yes")
         assert len(raw.heads) == 1
 
 
@@ -250,7 +250,7 @@
         await mesh.add("a")
         mesh.is_draining = mesh.server.is_draining = True
         refused = await mesh.call()
-        assert run_of(refused) == (503, "no")
+        assert status_and_run(refused) == (503, "no")
         assert (b"connection", b"close") in refused.headers
 
 
@@ -264,12 +264,12 @@
 
     async with Mesh() as mesh:
         raw = await mesh.add("a", answer_late)
-        assert run_of(await mesh.call()) == (200, "yes")
+        assert status_and_run(await mesh.call()) == (200, "yes")
         mesh.time_to_stop_ms = 100.0
-        assert run_of(await mesh.call()) == (503, "no")
+        assert status_and_run(await mesh.call()) == (503, "no")
         assert len(raw.heads) == 1
         mesh.time_to_stop_ms = 1000.0
-        assert run_of(await mesh.call()) == (200, "yes")
+        assert status_and_run(await mesh.call()) == (200, "yes")
 
 
 @on_loop
@@ -283,13 +283,13 @@
     async with Mesh(timeout_ms=400) as mesh:
         raw = await mesh.add("a", never, n_slots=1)
         running = asyncio.ensure_future(mesh.call())
-        await seen(lambda: raw.heads)
+        await wait_until(lambda: raw.heads)
         waiting = await mesh.call(headers=((b"pepperstair-timeout-ms", b"100"),))
         assert not running.done()
-        assert run_of(waiting) == (503, "no")
+        assert status_and_run(waiting) == (503, "no")
         assert retry_after_ms(waiting) > 0
-        assert run_of(await running) == (504, "unknown")
-        await seen(lambda: raw.n_closed == 1)
+        assert status_and_run(await running) == (504, "unknown")
+        await wait_until(lambda: raw.n_closed == 1)
         assert mesh.nodes["a"].runner.n_in_flight == 0
 
 
@@ -301,7 +301,7 @@
     """
 
     async def half(target, writer, head):
-        writer.write(http(b"half", length=8))
+        writer.write(http_answer(b"half", length=8))
         await asyncio.Event().wait()
 
     defaults = (0.05,)
@@ -312,7 +312,7 @@
         await mesh.add("a", half)
         with pytest.raises(ConnectionLostError):
             await mesh.call()
-        await seen(lambda: mesh.nodes["a"].runner.n_in_flight == 0)
+        await wait_until(lambda: mesh.nodes["a"].runner.n_in_flight == 0)
 
 
 @on_loop
@@ -321,7 +321,7 @@
 
     policy = Policy("p", "", ejection_errors=3)
     async with Mesh(policy) as mesh:
-        broken = http(b"", "500 Internal Server Error")
+        broken = http_answer(b"", "500 Internal Server Error")
         lying = await mesh.add("a", answering(broken))
         await mesh.add("b")
         for _ in range(40):
@@ -347,7 +347,7 @@
         await mesh.add("a", answering(data))
         response = await mesh.call()
         names = [name for name, _ in response.headers]
-        assert run_of(response) == (200, "yes")
+        assert status_and_run(response) == (200, "yes")
         assert names.count(b"pepperstair-run") == 1
 
 
@@ -362,10 +362,10 @@
     async with Mesh() as mesh:
         raw = await mesh.add("a")
         mesh.skew_ms += LEASE_MS + 1
-        assert run_of(await mesh.call()) == (503, "no")
+        assert status_and_run(await mesh.call()) == (503, "no")
         assert raw.heads == []
         mesh.announce("a")
-        assert run_of(await mesh.call()) == (200, "yes")
+        assert status_and_run(await mesh.call()) == (200, "yes")
 
 
 @pytest.mark.parametrize(
@@ -385,7 +385,7 @@
     async with Mesh(is_idempotent=True) as mesh:
         await mesh.add("a", cut_early)
         await mesh.add("b", cut_early)
-        assert run_of(await mesh.call(body=body)) == (502, "unknown")
+        assert status_and_run(await mesh.call(body=body)) == (502, "unknown")
         assert mesh.outcomes[0].n_retries == n_expected
 
 
@@ -416,7 +416,7 @@
         ("HEAD", b"HTTP/1.1 200 OK\r\ncontent-length: 7\r\n\r\n", 200, b""),
         ("GET", b"HTTP/1.1 204 No Content\r\n\r\n", 204, b""),
         ("GET", b'HTTP/1.1 304 Not Modified\r\netag: "a"\r\n\r\n', 304, b""),
-        ("GET", b"HTTP/1.1 100 Continue\r\n\r\n" + http(b"ok"), 200, b"ok"),
+        ("GET", b"HTTP/1.1 100 Continue\r\n\r\n" + http_answer(b"ok"), 200, b"ok"),
     ],
 )
 @on_loop
@@ -424,7 +424,7 @@
     async with Mesh() as mesh:
         await mesh.add("a", answering(data))
         response = await mesh.call(method)
-        assert run_of(response) == (status, "yes")
+        assert status_and_run(response) == (status, "yes")
         assert response.body == body
         stated = dict(response.headers).get(b"content-length")
         assert method != "HEAD" or stated == b"7"
@@ -462,7 +462,7 @@
         outcome = mesh.outcomes[0]
         assert (outcome.customer, outcome.route) == ("c", "r")
         assert (outcome.priority, outcome.status) == ("urgent", 200)
-        assert (outcome.error, outcome.run) == (None, Run.YES)
+        assert (outcome.error, outcome.run) == (None, RunStatus.YES)
         assert outcome.n_retries == 0
         assert outcome.duration_ms > 0
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -78,7 +78,7 @@
     assert (sum(item.target.name == "t3" for item in late) >= 4) is is_warm
 
 
-def test_targets_learnt_one_by_one_after_a_restart_share_the_calls():
+def test_targets_discovered_one_by_one_after_a_restart_share_the_calls():
     """All daemons were killed and come back, and targets announce themselves anew.
 
     Taken for cold, all but the first to be known would stand idle while it queues
--- a/tests/test_choice_of_better.py
+++ b/tests/test_choice_of_better.py
@@ -62,9 +62,11 @@
     full = lambda item: Load(12, 3)
     refused = {among[0].key}
     choosing = chooser()
-    assert choosing.choose(among, full, 0.0, refused, is_room_wanted=True) is None
+    assert (
+        choosing.choose(among, full, 0.0, refused, is_free_slot_required=True) is None
+    )
     free = lambda item: Load(11, 0)
-    chosen = choosing.choose(among, free, 0.0, refused, is_room_wanted=True)
+    chosen = choosing.choose(among, free, 0.0, refused, is_free_slot_required=True)
     assert chosen is among[1]
 
 
@@ -120,7 +122,7 @@
     assert choosing.end(among[0], among, end, 0.0) is not None
     assert share(choosing, among, "t1") == 0.0
     # Its daemon is back and says so, long before the ejection ends.
-    choosing.forgive("vm1")
+    choosing.clear_ejection("vm1")
     assert share(choosing, among, "t1") > 0.0
 
 
--- a/tests/test_choice_zones.py
+++ b/tests/test_choice_zones.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from pepperstair_core.calls import CallEnd, EndKind, Load, TargetChooser, ZoneExit
+from pepperstair_core.calls import CallEnd, CrossZoneCause, EndKind, Load, TargetChooser
 from tests.call_load import endpoint
 
 ZONES = ("a", "b", "c")
@@ -76,18 +76,18 @@
     near, far = endpoint(1, "a", 2), endpoint(2, "b", 20)
     for _ in range(4):
         choosing.choose([near, far], lambda item: None, 0.0)
-    assert choosing.n_left_zone[ZoneExit.FULL] == 2
+    assert choosing.n_cross_zone[CrossZoneCause.FULL] == 2
     choosing.choose([far], lambda item: None, 0.0)
-    assert choosing.n_left_zone[ZoneExit.NO_TARGET] == 1
+    assert choosing.n_cross_zone[CrossZoneCause.NO_TARGET] == 1
     choosing.choose([near, far], lambda item: None, 0.0, {near.key})
-    assert choosing.n_left_zone[ZoneExit.LEFT_OUT] == 1
+    assert choosing.n_cross_zone[CrossZoneCause.EXCLUDED] == 1
     slow = TargetChooser("a", Random(1))
     for item, latency_ms in ((near, 900.0), (far, 90.0)):
         slow.choose([item], lambda item: None, 0.0, route="r")
         end = CallEnd(EndKind.GOOD, 0.0, latency_ms, route="r")
         slow.end(item, [near, far], end, 0.0)
     slow.choose([near, far], lambda item: None, 0.0, route="r", objective_ms=300)
-    assert slow.n_left_zone[ZoneExit.SLOW] == 1
+    assert slow.n_cross_zone[CrossZoneCause.SLOW] == 1
 
 
 def chosen_where_all_are_full(n_near_waiting: int, n_far_waiting: int) -> str:
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -37,7 +37,7 @@
     async def start(self, seeds: tuple[str, ...], with_relay: bool = False) -> None:
         """Listen and join, behind a relay where one is asked for."""
         counters = {kind: FrameCounters() for kind in StreamKind}
-        take = {StreamKind.CONTROL: lambda *opened: self.plane.take_stream(*opened)}
+        take = {StreamKind.CONTROL: lambda *opened: self.plane.serve_stream(*opened)}
         listening = Identity(self.vm, self.incarnation, "")
         self.listener = PeerListener(listening, 262_144, take, counters)
         self.address = f"127.0.0.1:{await self.listener.listen('127.0.0.1', 0)}"
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -7,7 +7,7 @@
 
 from result import Ok
 
-from pepperstair_core.calls import CrashRecord, Quarantine, Standing
+from pepperstair_core.calls import CrashRecord, Quarantine, TrustLevel
 from pepperstair_core.decisions import DecisionKind, DecisionLog
 from pepperstair_core.wire import CrashRecords
 from pepperstair_peers import Identity
@@ -63,8 +63,8 @@
         )
         self.reports.start()
 
-    def standing(self, fingerprint):
-        return self.quarantine.standing(fingerprint, 0.0)
+    def trust_level(self, fingerprint):
+        return self.quarantine.trust_level(fingerprint, 0.0)
 
 
 async def settled():
@@ -118,12 +118,12 @@
     for _ in range(3):
         first.reports.report_crash("ledger-1", (b"poison",))
     await settled()
-    assert first.standing(b"poison") is Standing.QUARANTINED
+    assert first.trust_level(b"poison") is TrustLevel.QUARANTINED
     kinds = [decision.kind for decision in first.decisions.find()]
     assert kinds == [DecisionKind.QUARANTINED]
     later = Daemon("vm-2", first.table, is_first_start=False)
     await settled()
-    assert later.standing(b"poison") is Standing.QUARANTINED
+    assert later.trust_level(b"poison") is TrustLevel.QUARANTINED
 
 
 @on_loop
@@ -135,7 +135,7 @@
     for each in (daemon, other):
         each.control.on_crash_records("a", told)
     await settled()
-    assert daemon.standing(b"poison") is Standing.QUARANTINED
+    assert daemon.trust_level(b"poison") is TrustLevel.QUARANTINED
     assert list(daemon.table.rows) == [f"quarantine/{b'poison'.hex()}"]
     assert other.table.rows == {}
 
--- a/tests/test_data_streams.py
+++ b/tests/test_data_streams.py
@@ -11,7 +11,7 @@
 import pytest
 
 from pepperstair_core.calls import Attempt, Retry, TokenRetryBudget, decide_retry
-from pepperstair_core.errors import ErrorKind, PepperstairError, Run
+from pepperstair_core.errors import ErrorKind, PepperstairError, RunStatus
 from pepperstair_core.wire import (
     AnswerHead,
     BodyEnd,
@@ -183,9 +183,9 @@
             await successor.start(path.server.address)
             failure = await failure_of(running)
             successor.kill()
-            assert (failure.kind, failure.has_run) == (
+            assert (failure.kind, failure.run_status) == (
                 ErrorKind.OUTCOME_UNKNOWN,
-                Run.UNKNOWN,
+                RunStatus.UNKNOWN,
             )
 
     asyncio.run(scenario())
@@ -202,7 +202,7 @@
             await wait_for(lambda: path.server.runs == [1])
             path.server.kill()
             failure = await failure_of(running)
-            assert failure.has_run is Run.UNKNOWN
+            assert failure.run_status is RunStatus.UNKNOWN
             attempt = Attempt(
                 failure=failure,
                 priority="normal",
@@ -223,7 +223,7 @@
             path.server.kill()
             path.relay.close()
             failure = await failure_of(path.call(call_head(1)))
-            assert failure.has_run is Run.NO
+            assert failure.run_status is RunStatus.NO
 
     asyncio.run(scenario())
 
@@ -241,7 +241,7 @@
             path.relay.silence()
             running = path.call(call_head(2, has_body=True), bytes(400_000))
             failure = await failure_of(running)
-            assert failure.has_run is Run.NO
+            assert failure.run_status is RunStatus.NO
             path.relay.thaw()
             await asyncio.sleep(0.1)
             assert path.server.runs == [1]
@@ -355,7 +355,7 @@
             assert await answer.body.read() == b"first half"
             path.server.kill()
             failure = await failure_of(answer.body.read())
-            assert failure.has_run is Run.UNKNOWN
+            assert failure.run_status is RunStatus.UNKNOWN
 
     asyncio.run(scenario())
 
@@ -437,7 +437,7 @@
 
             path.server.calls.was_paused = was_paused
             kept = path.call(call_head(2, has_body=True), bytes(400_000))
-            assert (await failure_of(kept)).has_run is Run.NO
+            assert (await failure_of(kept)).run_status is RunStatus.NO
             assert path.server.runs == [1]
             assert await read_whole(await path.call(call_head(3))) == b"done "
 
--- a/tests/test_departure_rows.py
+++ b/tests/test_departure_rows.py
@@ -56,17 +56,17 @@
         )
         self.rows = DepartureRows(table, "vm-1", self.announcements, lambda: WALL_MS)
 
-    async def take(self, sequence: int, state: TargetState = SERVING) -> bool:
+    async def accept(self, sequence: int, state: TargetState = SERVING) -> bool:
         """Take an announcement and acknowledge it."""
         await self.rows.restored()
         target = Target("i-1", "127.0.0.1:1", (), 12, 99, state)
-        is_taken = self.announcements.take(Announcement(target, 0, sequence))
+        is_taken = self.announcements.accept(Announcement(target, 0, sequence))
         await self.rows.save()
         return is_taken
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """Take the deregistration of the target and acknowledge it."""
-        self.announcements.leave("i-1")
+        self.announcements.deregister("i-1")
         await self.rows.save()
 
     def states(self) -> list[TargetState]:
@@ -84,10 +84,10 @@
     async def scenario() -> None:
         table = FakeTable()
         first = Process(table)
-        await first.take(5)
-        await first.leave()
+        await first.accept(5)
+        await first.deregister()
         second = Process(table)
-        assert not await second.take(6)
+        assert not await second.accept(6)
         assert second.states() == []
 
     asyncio.run(scenario())
@@ -101,13 +101,13 @@
     async def scenario() -> None:
         table = FakeTable()
         first = Process(table)
-        await first.take(5)
-        await first.take(7, DRAINING)
-        await first.take(8, DRAINING)
+        await first.accept(5)
+        await first.accept(7, DRAINING)
+        await first.accept(8, DRAINING)
         assert table.n_writes == 1
         second = Process(table)
-        assert not await second.take(6)
-        assert await second.take(9, DRAINING)
+        assert not await second.accept(6)
+        assert await second.accept(9, DRAINING)
         assert second.states() == [DRAINING]
         assert table.n_writes == 1
 
@@ -127,14 +127,14 @@
         table.is_away = True
         first = Process(table)
         async with asyncio.timeout(5):
-            assert await first.take(5)
-            await first.leave()
+            assert await first.accept(5)
+            await first.deregister()
             assert not table.rows
             table.is_away = False
             while not table.rows:
                 await asyncio.sleep(0.01)
         second = Process(table)
-        assert not await second.take(6)
+        assert not await second.accept(6)
 
     asyncio.run(scenario())
 
@@ -148,8 +148,8 @@
         for vm, text in (("vm-1", json.dumps(old)), ("vm-2", "not JSON")):
             table.rows[f"departure/{vm}"] = Row(f"departure/{vm}", text)
         process = Process(table)
-        assert await process.take(1)
-        await process.leave()
+        assert await process.accept(1)
+        await process.deregister()
         assert list(table.rows) == ["departure/vm-1"]
 
     asyncio.run(scenario())
--- a/tests/test_exposition.py
+++ b/tests/test_exposition.py
@@ -7,7 +7,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from pepperstair_core.calls import CallOutcome
-from pepperstair_core.errors import ErrorKind, Run
+from pepperstair_core.errors import ErrorKind, RunStatus
 from pepperstair_http import Fetcher, HttpServer, ServerLimits
 from pepperstaird.counters import DaemonCounters, DaemonGauges
 from pepperstaird.exposition import Exposition
@@ -16,7 +16,7 @@
 def outcome(duration_ms: float, error: ErrorKind | None = None) -> CallOutcome:
     """Return the end of one call."""
     status = 200 if error is None else 503
-    return CallOutcome("c", "r", "urgent", status, error, Run.YES, duration_ms, 0)
+    return CallOutcome("c", "r", "urgent", status, error, RunStatus.YES, duration_ms, 0)
 
 
 def test_counters_gauges_and_call_times_are_served():
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -15,8 +15,8 @@
 from pepperstair_core.following import (
     CallerLimits,
     FollowedDocument,
-    Following,
-    Offer,
+    FollowedDocumentState,
+    OfferResult,
 )
 from pepperstair_core.intent import Intent
 from pepperstair_core.schema import Fault
@@ -27,11 +27,11 @@
     DocumentFresh,
     DocumentHave,
     DocumentPull,
+    compress,
+    decompress,
     encode_frame,
-    pack,
-    unpack,
 )
-from pepperstair_core.wire.packing import UNPACKED_MAX_BYTES
+from pepperstair_core.wire.compression import DECOMPRESSED_MAX_BYTES
 from pepperstair_platform import WatchedRow, WatchedRows
 from pepperstaird import document_exchange, follower
 from pepperstaird.clock import boot_ms
@@ -51,9 +51,13 @@
 
 def test_version_never_goes_back():
     """Two answers of the store cross; the older version arrives last."""
-    following = Following(read)
+    following = FollowedDocumentState(read)
     offers = [following.offer(data) for data in (b"5", b"7", b"6", b"7", b"5")]
-    assert offers == [Offer.IN_FORCE, Offer.IN_FORCE, *[Offer.OLDER] * 3]
+    assert offers == [
+        OfferResult.IN_FORCE,
+        OfferResult.IN_FORCE,
+        *[OfferResult.OLDER] * 3,
+    ]
     assert following.version == 7
 
 
@@ -62,13 +66,13 @@
 
     It is said once why; the routes in force stay.
     """
-    following = Following(read)
+    following = FollowedDocumentState(read)
     offers = [following.offer(data) for data in (b"5", b"bad", b"bad", b"6")]
     assert offers == [
-        Offer.IN_FORCE,
-        Offer.REJECTED,
-        Offer.REJECTED_BEFORE,
-        Offer.IN_FORCE,
+        OfferResult.IN_FORCE,
+        OfferResult.REJECTED,
+        OfferResult.REJECTED_BEFORE,
+        OfferResult.IN_FORCE,
     ]
 
 
@@ -198,7 +202,7 @@
     """
     refused = Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
     control = FakeControl("vm-2", "vm-3")
-    frames = [("vm-2", DocumentHave(5)), ("vm-2", DocumentCopy(pack(b"5"), 3))]
+    frames = [("vm-2", DocumentHave(5)), ("vm-2", DocumentCopy(compress(b"5"), 3))]
     following = follow(FakeTable(*[refused] * 9), control, frames)
     assert following.versions() == {"platform": 5}
     assert following.is_floor_known
@@ -213,7 +217,7 @@
     assert control.sent == [
         ("vm-2", DocumentHave(5)),
         ("vm-2", DocumentHave(5)),
-        ("vm-2", DocumentCopy(pack(b"5"), 3)),
+        ("vm-2", DocumentCopy(compress(b"5"), 3)),
     ]
 
 
@@ -228,15 +232,17 @@
     """A neighbour of another release sends something else in a copy's place."""
     control = FakeControl("vm-2")
     refused = Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
-    frames = [("vm-2", DocumentCopy(data, 3)) for data in (b"5", pack(b"5")[:-2], b"")]
+    frames = [
+        ("vm-2", DocumentCopy(data, 3)) for data in (b"5", compress(b"5")[:-2], b"")
+    ]
     following = follow(FakeTable(*[refused] * 9), control, frames)
     assert following.versions() == {}
 
 
 def test_copy_that_unpacks_to_more_than_anything_sent_is_refused():
     """A few bytes that unpack to gigabytes would fill the memory of the VM."""
-    assert unpack(pack(b"0" * UNPACKED_MAX_BYTES)) is not None
-    assert unpack(pack(b"0" * (UNPACKED_MAX_BYTES + 1))) is None
+    assert decompress(compress(b"0" * DECOMPRESSED_MAX_BYTES)) is not None
+    assert decompress(compress(b"0" * (DECOMPRESSED_MAX_BYTES + 1))) is None
 
 
 def test_copy_of_a_large_document_fits_one_frame():
@@ -248,7 +254,7 @@
     settings = parse_all_settings(filled()).unwrap().product
     frame_max_bytes = settings.peers.frame_max_bytes
     assert len(data) > frame_max_bytes
-    assert len(encode_frame(DocumentCopy(pack(data), 3))) < frame_max_bytes / 2
+    assert len(encode_frame(DocumentCopy(compress(data), 3))) < frame_max_bytes / 2
 
 
 def test_watch_goes_on_from_where_a_neighbour_has_read(monkeypatch):
@@ -260,7 +266,7 @@
     """
     monkeypatch.setattr(follower, "_SETTLE_S", 0.03)
     table = FakeTable(rows(3, b"5"))
-    copy = DocumentCopy(pack(b"7"), 9)
+    copy = DocumentCopy(compress(b"7"), 9)
     following = follow(table, FakeControl(), [("vm-2", copy)], for_s=0.1)
     assert following.versions() == {"platform": 7}
     assert table.calls == [None, 9]
@@ -270,12 +276,12 @@
     """A neighbour that is behind sends what it has."""
     monkeypatch.setattr(follower, "_SETTLE_S", 0.03)
     table = FakeTable(rows(3, b"5"))
-    copy = DocumentCopy(pack(b"4"), 9)
+    copy = DocumentCopy(compress(b"4"), 9)
     follow(table, FakeControl(), [("vm-2", copy)], for_s=0.1)
     assert table.calls == [None, 3]
 
 
-def test_daemons_that_read_together_do_not_renew_their_watches_together(monkeypatch):
+def test_watches_of_daemons_started_together_are_not_renewed_together(monkeypatch):
     """Six daemons were killed together, and the store turns silent just when each of
     them has begun its watch. A version is written meanwhile.
 
@@ -354,7 +360,7 @@
     table, control = FakeTable(rows(3, b"5")), FakeControl("vm-2", "vm-3")
     frames = [
         ("vm-2", DocumentFresh(5, 3, 10)),
-        ("vm-2", DocumentCopy(pack(b"5"), 3, 10)),
+        ("vm-2", DocumentCopy(compress(b"5"), 3, 10)),
     ]
     following = follow(table, control, frames, for_s=0.5, **shared())
     assert following.versions() == {"platform": 5}
@@ -369,7 +375,7 @@
     monkeypatch.setattr(shared_reading, "FIRST_READ_SHARE", 0.05)
     monkeypatch.setattr(shared_reading, "LAST_READ_SHARE", 0.05)
     table, control = FakeTable(rows(9, b"7")), FakeControl("vm-2", "vm-3")
-    copy = DocumentCopy(pack(b"5"), 3, 10)
+    copy = DocumentCopy(compress(b"5"), 3, 10)
     following = follow(table, control, [("vm-2", copy)], for_s=0.5, **shared())
     assert following.versions() == {"platform": 7}
     assert table.calls[0] == 3 and table.waits_ms[0] == 0
@@ -381,7 +387,7 @@
     frames = [
         ("vm-2", DocumentFresh(5, 3, 10)),
         ("vm-3", DocumentFresh(6, 4, 10)),
-        ("vm-2", DocumentCopy(pack(b"5"), 3, 10)),
+        ("vm-2", DocumentCopy(compress(b"5"), 3, 10)),
     ]
     follow(FakeTable(), control, frames, **shared())
     assert ("vm-3", DocumentPull(5)) in control.sent
@@ -390,7 +396,10 @@
 def test_confirmation_of_an_older_version_counts_for_nothing():
     """Guards against a daemon that trusts a neighbour which is behind."""
     table, control = FakeTable(), FakeControl("vm-2", "vm-3")
-    frames = [("vm-2", DocumentCopy(pack(b"5"), 3)), ("vm-3", DocumentFresh(4, 9, 0))]
+    frames = [
+        ("vm-2", DocumentCopy(compress(b"5"), 3)),
+        ("vm-3", DocumentFresh(4, 9, 0)),
+    ]
     following = follow(table, control, frames, **shared())
     assert not following.schedule.is_confirmed
     assert ("vm-3", DocumentHave(5)) in control.sent
@@ -407,10 +416,10 @@
     assert sent.count(DocumentDelta) == 1 and sent.count(DocumentCopy) == 1
 
 
-def test_version_is_announced_before_it_is_here_and_handed_on_as_it_comes():
+def test_version_is_announced_before_it_arrives_and_forwarded_on_arrival():
     """Guards against a way through the fleet that takes a reading at each daemon."""
     control = FakeControl("vm-2", "vm-3")
-    copy = DocumentCopy(pack(b"5"), 3)
+    copy = DocumentCopy(compress(b"5"), 3)
     frames = [
         ("vm-2", DocumentHave(5)),
         ("vm-3", DocumentPull(0)),
@@ -431,7 +440,7 @@
     assert asked[:3] == ["vm-2", "vm-3", "vm-2"]
 
 
-def test_neighbours_that_are_lost_are_not_waited_for():
+def test_pull_moves_on_at_once_when_its_neighbour_is_lost():
     """Guards against a version that comes late as its source is no neighbour now."""
     control = FakeControl("vm-2", "vm-3", "vm-4")
     frames = [(vm, DocumentHave(5)) for vm in control.neighbours]
@@ -444,13 +453,13 @@
     """Guards against copies of a bad version that fill a narrow link for ever."""
     monkeypatch.setattr(document_exchange, "_PULL_AGAIN_S", 0.01)
     control = FakeControl("vm-2")
-    frames = [("vm-2", DocumentHave(5)), ("vm-2", DocumentCopy(pack(b"bad"), 3))]
+    frames = [("vm-2", DocumentHave(5)), ("vm-2", DocumentCopy(compress(b"bad"), 3))]
     frames += [("vm-2", DocumentHave(5))] * 3
     follow(FakeTable(), control, frames, **shared())
     assert [frame for _, frame in control.sent if isinstance(frame, DocumentPull)] == []
 
 
-def test_daemon_that_can_not_read_the_newest_version_confirms_nothing():
+def test_daemon_that_rejected_the_newest_version_sends_no_confirmation():
     """Guards against an older release that holds newer ones at an old version."""
     control = FakeControl("vm-2")
     table = FakeTable(rows(3, b"5", b"bad"))
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -9,7 +9,7 @@
 from pepperstair_core.routing import RouteTable
 from pepperstaird.early_listening import open_callers_socket
 
-from .call_mesh import Mesh, run_of, seen
+from .call_mesh import Mesh, status_and_run, wait_until
 from .test_last_hop import ID
 
 
@@ -22,11 +22,11 @@
 
     async def run() -> tuple[int, str]:
         async with Mesh() as mesh:
-            mesh.is_joining = True
+            mesh.is_starting = True
             call = asyncio.ensure_future(mesh.call(headers=(ID,)))
-            await seen(lambda: mesh.proxy.n_held_at_start == 1)
+            await wait_until(lambda: mesh.proxy.n_held_at_start == 1)
             await mesh.add("t1")
-            return run_of(await call)
+            return status_and_run(await call)
 
     assert asyncio.run(run()) == (200, "yes")
 
@@ -42,15 +42,15 @@
         async with Mesh(is_idempotent=False) as mesh:
             target = await mesh.add("t1", slow_answer)
             known, mesh.table = mesh.table, RouteTable([])
-            mesh.is_joining, mesh.is_known = True, False
+            mesh.is_starting, mesh.is_known = True, False
             _, writer = await asyncio.open_connection(*mesh.address)
             booking = "POST /{} HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\n\r\n"
             writer.write((booking.format(1) + booking.format(2)).encode())
-            await seen(lambda: mesh.proxy.n_held_at_start > 0)
+            await wait_until(lambda: mesh.proxy.n_held_at_start > 0)
             await asyncio.sleep(0.05)
             n_held = mesh.proxy.n_held_at_start
             mesh.table, mesh.is_known = known, True
-            await seen(lambda: len(target.heads) > 0)
+            await wait_until(lambda: len(target.heads) > 0)
             await asyncio.sleep(0.05)
             writer.close()
             return [n_held, len(target.heads)]
@@ -62,13 +62,13 @@
 
 
 def test_request_that_no_target_comes_for_is_refused_in_good_time():
-    async def run(is_joining: bool) -> tuple[tuple[int, str], float]:
+    async def run(is_starting: bool) -> tuple[tuple[int, str], float]:
         async with Mesh() as mesh:
-            mesh.is_joining = is_joining
+            mesh.is_starting = is_starting
             start_s = time.monotonic()
             timeout = (b"pepperstair-timeout-ms", b"800")
             answer = await mesh.call(headers=(timeout,))
-            return run_of(answer), time.monotonic() - start_s
+            return status_and_run(answer), time.monotonic() - start_s
 
     refused, lasted_s = asyncio.run(run(True))
     assert refused == (503, "no")
--- a/tests/test_last_hop.py
+++ b/tests/test_last_hop.py
@@ -7,10 +7,10 @@
 import pytest
 from msgspec.structs import replace
 
-from pepperstair_core.errors import Run
+from pepperstair_core.errors import RunStatus
 from pepperstair_http import HeaderNames
 from pepperstair_targets import TargetOptions
-from tests.call_mesh import Mesh, run_of
+from tests.call_mesh import Mesh, status_and_run
 
 NAMES = HeaderNames(
     timeout_ms=b"x-timeout",
@@ -113,7 +113,7 @@
     refusal = b"HTTP/1.1 503 Busy\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n"
     await mesh.add("a", answering(refusal))
     response = await mesh.call(headers=(ID,))
-    assert run_of(response) == (503, Run.NO)
+    assert status_and_run(response) == (503, RunStatus.NO)
     value = dict(response.headers)[b"retry-after"]
     assert b"." in value
 
@@ -123,7 +123,7 @@
     """A target ended and its address belongs to another one, which says so."""
     other = b"HTTP/1.1 421 Misdirected\r\ncontent-length: 0\r\n\r\n"
     await mesh.add("a", answering(other))
-    assert run_of(await mesh.call(headers=(ID,))) == (503, Run.NO)
+    assert status_and_run(await mesh.call(headers=(ID,))) == (503, RunStatus.NO)
 
 
 @pytest.mark.parametrize(
@@ -161,7 +161,7 @@
     """The same for a request that must not run twice: nobody knows."""
     await mesh.add("a", answering(answer_bytes(signed=False)))
     await mesh.add("b", answering(answer_bytes(signed=False)))
-    assert run_of(await mesh.call(headers=(ID,))) == (502, Run.UNKNOWN)
+    assert status_and_run(await mesh.call(headers=(ID,))) == (502, RunStatus.UNKNOWN)
     assert sum(len(target.heads) for target in mesh.raw.values()) == 1
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -268,5 +268,5 @@
     directory = MemberDirectory(member("a"))
     sweep = RowSweep()
     rows = [MemberRow("a", "a:1", 0), MemberRow("b", "b:1", 0)]
-    dead = [list(sweep.iter_dead(directory, rows)) for _ in range(10)]
+    dead = [list(sweep.iter_stale_vms(directory, rows)) for _ in range(10)]
     assert dead == [[]] * 9 + [["b"]]
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -12,7 +12,7 @@
 from benchmarks.fleet import free_port, running_fleet
 from pepperstair_core.calls import CallOutcome
 from pepperstair_core.config import MetricsSettings
-from pepperstair_core.errors import Run
+from pepperstair_core.errors import RunStatus
 from pepperstaird.counters import DaemonCounters, DaemonGauges
 from pepperstaird.metrics import DATAGRAM_MAX_BYTES, MetricsSender
 from pepperstaird.timings import Timings
@@ -54,7 +54,7 @@
     sender = open_sender(receiver, counts)
     for n_calls, expected in ((3, b"calls:3|c"), (5, b"calls:2|c")):
         counts.n_calls = n_calls
-        sender.add(CallOutcome("c", "r", "urgent", 200, None, Run.YES, 10.0, 0))
+        sender.add(CallOutcome("c", "r", "urgent", 200, None, RunStatus.YES, 10.0, 0))
         sender.send()
         lines = receiver.recv(65_536).split(b"\n")
         assert b"pepperstair.vm-1_a." + expected in lines
--- a/tests/test_ordered_announcements.py
+++ b/tests/test_ordered_announcements.py
@@ -26,10 +26,10 @@
             self.registry, lambda: self.now_ms, lambda: self.wall_ms, silent_ms
         )
 
-    def take(self, name, start_ms, sequence, state=SERVING) -> bool:
+    def accept(self, name, start_ms, sequence, state=SERVING) -> bool:
         """Announce a target."""
         target = Target(name, "127.0.0.1:1", (), 12, 99, state)
-        return self.announcements.take(Announcement(target, start_ms, sequence))
+        return self.announcements.accept(Announcement(target, start_ms, sequence))
 
     def states(self) -> dict[str, TargetState]:
         """Return the state of each target in use."""
@@ -42,10 +42,10 @@
     Taken in the order of arrival, it would get new work that it cuts by leaving.
     """
     fixture = Fixture()
-    fixture.take("i-1", 100, 5)
-    fixture.take("i-1", 100, 7, DRAINING)
-    assert not fixture.take("i-1", 100, 6)
-    assert not fixture.take("i-1", 100, 7)
+    fixture.accept("i-1", 100, 5)
+    fixture.accept("i-1", 100, 7, DRAINING)
+    assert not fixture.accept("i-1", 100, 6)
+    assert not fixture.accept("i-1", 100, 7)
     assert fixture.states() == {"i-1": DRAINING}
 
 
@@ -56,44 +56,44 @@
     Requests for the crashed one would reach a process that never heard of them.
     """
     fixture = Fixture()
-    fixture.take("i-1", 100, 5)
-    assert fixture.take("i-2", 900, 1)
-    assert not fixture.take("i-1", 100, 6)
+    fixture.accept("i-1", 100, 5)
+    assert fixture.accept("i-2", 900, 1)
+    assert not fixture.accept("i-1", 100, 6)
     assert fixture.states() == {"i-2": SERVING}
-    assert not fixture.announcements.leave("i-1")
+    assert not fixture.announcements.deregister("i-1")
     assert fixture.states() == {"i-2": SERVING}
 
 
 def test_instance_that_starts_again_under_its_name_counts_anew():
     fixture = Fixture()
-    fixture.take("i-1", 100, 50)
-    assert fixture.take("i-1", 900, 1)
-    assert not fixture.take("i-1", 100, 51)
+    fixture.accept("i-1", 100, 50)
+    assert fixture.accept("i-1", 900, 1)
+    assert not fixture.accept("i-1", 100, 51)
 
 
 def test_announcement_after_the_deregistration_changes_nothing():
     """An instance deregisters; a delayed announcement of it arrives."""
     fixture = Fixture()
-    fixture.take("i-1", 100, 5)
-    assert fixture.announcements.leave("i-1")
-    assert not fixture.take("i-1", 100, 6)
+    fixture.accept("i-1", 100, 5)
+    assert fixture.announcements.deregister("i-1")
+    assert not fixture.accept("i-1", 100, 6)
     assert fixture.states() == {}
-    assert fixture.take("i-1", 900, 1)
+    assert fixture.accept("i-1", 900, 1)
 
 
-def test_deregistration_that_comes_first_is_remembered():
+def test_deregistration_of_an_unknown_target_is_recorded():
     """A daemon restarts, and the first it hears of its instance is the deregistration.
 
     What the instance said before was held up and arrives two seconds later. Taken
     for news, it would bring requests to an instance that is about to end.
     """
     fixture = Fixture()
-    fixture.announcements.leave("i-1")
-    assert not fixture.take("i-1", 100, 6)
-    assert not fixture.take("i-1", 0, 7)
+    fixture.announcements.deregister("i-1")
+    assert not fixture.accept("i-1", 100, 6)
+    assert not fixture.accept("i-1", 0, 7)
     assert fixture.states() == {}
     # Started again under its name, it is a new one.
-    assert fixture.take("i-1", WALL_MS + 1, 1)
+    assert fixture.accept("i-1", WALL_MS + 1, 1)
     assert fixture.states() == {"i-1": SERVING}
 
 
@@ -104,30 +104,30 @@
     The daemon would send calls for the first one, which the second refuses.
     """
     fixture = Fixture(silent_ms=3000)
-    fixture.take("i-2", 0, 1)
+    fixture.accept("i-2", 0, 1)
     fixture.now_ms = 1400
-    assert not fixture.take("i-1", 0, 9)
+    assert not fixture.accept("i-1", 0, 9)
     assert fixture.states() == {"i-2": SERVING}
     # After a long silence the one that was known has ended.
     fixture.now_ms = 3000
-    assert fixture.take("i-1", 0, 10)
+    assert fixture.accept("i-1", 0, 10)
     assert fixture.states() == {"i-1": SERVING}
 
 
 def test_successor_of_a_target_that_deregistered_is_taken_at_once():
     fixture = Fixture(silent_ms=3000)
-    fixture.take("i-1", 0, 1)
-    fixture.announcements.leave("i-1")
-    assert fixture.take("i-2", 0, 1)
+    fixture.accept("i-1", 0, 1)
+    fixture.announcements.deregister("i-1")
+    assert fixture.accept("i-2", 0, 1)
     assert fixture.states() == {"i-2": SERVING}
 
 
 def test_restored_departure_does_not_lower_what_is_known():
     """What was kept is read after the target has said more."""
     fixture = Fixture()
-    fixture.take("i-1", 100, 8, DRAINING)
+    fixture.accept("i-1", 100, 8, DRAINING)
     fixture.announcements.restore([Departure("i-1", 100, 4, 0)])
-    assert not fixture.take("i-1", 100, 7)
+    assert not fixture.accept("i-1", 100, 7)
     assert fixture.states() == {"i-1": DRAINING}
 
 
@@ -138,21 +138,21 @@
     Until its count has passed that of before, it would get no work.
     """
     fixture = Fixture(silent_ms=3000)
-    fixture.take("i-1", 0, 50)
+    fixture.accept("i-1", 0, 50)
     fixture.now_ms = 1500
-    assert not fixture.take("i-1", 0, 1)
+    assert not fixture.accept("i-1", 0, 1)
     fixture.now_ms = 3000
-    assert fixture.take("i-1", 0, 2)
-    assert fixture.take("i-1", 0, 3)
+    assert fixture.accept("i-1", 0, 2)
+    assert fixture.accept("i-1", 0, 3)
 
 
 def test_name_that_deregistered_long_ago_may_come_back_without_telling_when():
     """What a target said can be held up for seconds, not for half a minute."""
     fixture = Fixture()
-    fixture.take("i-1", 0, 5)
-    fixture.announcements.leave("i-1")
+    fixture.accept("i-1", 0, 5)
+    fixture.announcements.deregister("i-1")
     fixture.wall_ms += HELD_UP_MAX_MS - 1
-    assert not fixture.take("i-1", 0, 6)
+    assert not fixture.accept("i-1", 0, 6)
     fixture.wall_ms += 1
-    assert fixture.take("i-1", 0, 1)
+    assert fixture.accept("i-1", 0, 1)
     assert fixture.states() == {"i-1": SERVING}
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -19,7 +19,7 @@
 )
 from pepperstair_targets import TargetOptions
 
-from .call_mesh import Mesh, answer_ok, http, seen
+from .call_mesh import Mesh, answer_ok, http_answer, wait_until
 from .test_http_server import sending
 from .test_http_server import serve as serve_within
 
@@ -131,7 +131,7 @@
 
     async def client(reader, writer) -> bytes:
         writer.write(request("a", 100) + request("b", 150))
-        await seen(lambda: len(recorder.started) == 2)
+        await wait_until(lambda: len(recorder.started) == 2)
         writer.write(request("book", 0, b"x") + request("c"))
         await asyncio.sleep(0.02)
         servers[0].drain()
@@ -160,9 +160,9 @@
 
     async def client(reader, writer) -> None:
         writer.write(b"".join(request(f"r{i}", 5_000) for i in range(3)))
-        await seen(lambda: len(recorder.started) == 3)
+        await wait_until(lambda: len(recorder.started) == 3)
         writer.close()
-        await seen(lambda: len(recorder.cancelled) == 3)
+        await wait_until(lambda: len(recorder.cancelled) == 3)
 
     serve(client, recorder.handle)
 
@@ -335,9 +335,9 @@
             targets = [await mesh.add("t1", hang), await mesh.add("t2", hang)]
             reader, writer = await asyncio.open_connection(*mesh.address)
             writer.write(ahead_of(3))
-            await seen(lambda: sum(len(t.heads) for t in targets) == 3)
+            await wait_until(lambda: sum(len(t.heads) for t in targets) == 3)
             writer.close()
-            await seen(lambda: sum(t.n_closed for t in targets) == 3)
+            await wait_until(lambda: sum(t.n_closed for t in targets) == 3)
 
     asyncio.run(run())
 
@@ -359,11 +359,11 @@
             target = await mesh.add("t1", slow_first, n_slots=2)
             _, writer = await asyncio.open_connection(*mesh.address)
             writer.write(ahead_of(1, "/slow") + ahead_of(1))
-            await seen(lambda: len(target.heads) == 2)
+            await wait_until(lambda: len(target.heads) == 2)
             await asyncio.sleep(0.05)
             start_s = time.monotonic()
             await mesh.call("GET")
-            await seen(lambda: mesh.nodes["t1"].runner.n_in_flight == 1)
+            await wait_until(lambda: mesh.nodes["t1"].runner.n_in_flight == 1)
             writer.close()
             return time.monotonic() - start_s
 
@@ -387,7 +387,7 @@
             reader, writer = await asyncio.open_connection(*mesh.address)
             writer.write(b"POST /x HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\n\r\n")
             writer.write(b"GET /x HTTP/1.1\r\nhost: x\r\nx-timeout: 900\r\n\r\n")
-            await seen(lambda: len(target.heads) == 2)
+            await wait_until(lambda: len(target.heads) == 2)
             writer.close()
             told = target.heads[1].lower().partition(b"x-timeout: ")[2]
             return int(told.split(b"\r\n")[0])
@@ -411,6 +411,6 @@
 
     async def answer_in_turn(target, writer, head) -> None:
         await asyncio.sleep(0.01)
-        writer.write(http(head.split()[1] + b"!"))
+        writer.write(http_answer(head.split()[1] + b"!"))
 
     asyncio.run(run())
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -12,9 +12,9 @@
     RECORD_KEPT_MS,
     CrashRecord,
     Quarantine,
-    Standing,
+    TrustLevel,
 )
-from pepperstair_core.errors import Run
+from pepperstair_core.errors import RunStatus
 
 POISON = b"poison"
 
@@ -34,10 +34,10 @@
     standings = []
     for _ in range(N_CRASHES_MAX):
         crashed(quarantine, POISON)
-        standings.append(quarantine.standing(POISON, 0))
-    assert standings == [Standing.TRUSTED, Standing.SUSPECT, Standing.QUARANTINED]
+        standings.append(quarantine.trust_level(POISON, 0))
+    assert standings == [TrustLevel.TRUSTED, TrustLevel.SUSPECT, TrustLevel.QUARANTINED]
     refusal = quarantine.refusal(POISON, 1000)
-    assert refusal.has_run is Run.NO
+    assert refusal.run_status is RunStatus.NO
     assert refusal.retry_after_ms == QUARANTINE_MS - 1000
 
 
@@ -47,8 +47,8 @@
     crashed(quarantine, POISON, b"a", b"b")
     for index in range(N_CRASHES_MAX):
         crashed(quarantine, POISON, b"a%d" % index, b"c")
-    assert quarantine.standing(POISON, 0) is Standing.QUARANTINED
-    assert quarantine.standing(b"c", 0) is Standing.TRUSTED
+    assert quarantine.trust_level(POISON, 0) is TrustLevel.QUARANTINED
+    assert quarantine.trust_level(b"c", 0) is TrustLevel.TRUSTED
     assert quarantine.n_quarantined(0) == 1
 
 
@@ -58,7 +58,7 @@
     for _ in range(3 * N_CRASHES_MAX):
         crashed(quarantine, b"common")
         quarantine.record_answer(b"common")
-    assert quarantine.standing(b"common", 0) is Standing.TRUSTED
+    assert quarantine.trust_level(b"common", 0) is TrustLevel.TRUSTED
     assert quarantine.record_answer(b"common") is None
     assert quarantine.record_answer(b"never seen") is None
 
@@ -67,22 +67,22 @@
     quarantine = Quarantine()
     for _ in range(N_CRASHES_MAX):
         crashed(quarantine, POISON)
-    assert quarantine.standing(POISON, QUARANTINE_MS - 1) is Standing.QUARANTINED
-    assert quarantine.standing(POISON, QUARANTINE_MS) is Standing.SUSPECT
+    assert quarantine.trust_level(POISON, QUARANTINE_MS - 1) is TrustLevel.QUARANTINED
+    assert quarantine.trust_level(POISON, QUARANTINE_MS) is TrustLevel.SUSPECT
     crashed(quarantine, POISON, now_ms=QUARANTINE_MS)
     until_ms = 3 * QUARANTINE_MS
-    assert quarantine.standing(POISON, until_ms - 1) is Standing.QUARANTINED
-    assert quarantine.standing(POISON, until_ms) is Standing.SUSPECT
+    assert quarantine.trust_level(POISON, until_ms - 1) is TrustLevel.QUARANTINED
+    assert quarantine.trust_level(POISON, until_ms) is TrustLevel.SUSPECT
 
 
 def test_old_suspicion_counts_no_more():
     quarantine = Quarantine()
     crashed(quarantine, POISON)
     crashed(quarantine, POISON)
-    assert quarantine.standing(POISON, RECORD_KEPT_MS - 1) is Standing.SUSPECT
-    assert quarantine.standing(POISON, RECORD_KEPT_MS) is Standing.TRUSTED
+    assert quarantine.trust_level(POISON, RECORD_KEPT_MS - 1) is TrustLevel.SUSPECT
+    assert quarantine.trust_level(POISON, RECORD_KEPT_MS) is TrustLevel.TRUSTED
     crashed(quarantine, POISON, now_ms=RECORD_KEPT_MS)
-    assert quarantine.standing(POISON, RECORD_KEPT_MS) is Standing.TRUSTED
+    assert quarantine.trust_level(POISON, RECORD_KEPT_MS) is TrustLevel.TRUSTED
 
 
 def test_request_that_turns_harmful_is_quarantined_after_many_harmless_crashes():
@@ -93,7 +93,7 @@
         quarantine.record_answer(b"common")
     for _ in range(N_CRASHES_MAX):
         crashed(quarantine, b"common")
-    assert quarantine.standing(b"common", 0) is Standing.QUARANTINED
+    assert quarantine.trust_level(b"common", 0) is TrustLevel.QUARANTINED
 
 
 def test_records_merge_to_the_same_in_any_order():
@@ -112,7 +112,7 @@
             quarantine.merge(suspicion, 0)
             assert not quarantine.merge(suspicion, 0)
         results.add(tuple(sorted(quarantine.records(), key=lambda s: s.fingerprint)))
-        assert quarantine.standing(POISON, 0) is Standing.QUARANTINED
+        assert quarantine.trust_level(POISON, 0) is TrustLevel.QUARANTINED
     assert len(results) == 1
 
 
@@ -132,7 +132,7 @@
         crashed(quarantine, POISON)
     for index in range(100):
         crashed(quarantine, b"%d" % index, now_ms=index)
-    assert quarantine.standing(POISON, 100) is Standing.QUARANTINED
+    assert quarantine.trust_level(POISON, 100) is TrustLevel.QUARANTINED
     assert len(list(quarantine.records())) == 8
 
 
@@ -151,7 +151,7 @@
         crashed(quarantine, *running, now_ms=n_crashes)
         for answered in rng.sample(others, 400):
             quarantine.record_answer(answered)
-    standings = [quarantine.standing(found, n_crashes) for found in poison]
-    assert standings == [Standing.QUARANTINED] * 2
+    standings = [quarantine.trust_level(found, n_crashes) for found in poison]
+    assert standings == [TrustLevel.QUARANTINED] * 2
     assert quarantine.n_quarantined(n_crashes) == 2
     assert n_crashes <= 12
--- a/tests/test_quarantine_differential.py
+++ b/tests/test_quarantine_differential.py
@@ -11,7 +11,7 @@
     N_CRASHES_ISOLATED,
     N_CRASHES_MAX,
     Quarantine,
-    Standing,
+    TrustLevel,
 )
 
 N_DAEMONS = 4
@@ -39,13 +39,13 @@
         self.charged[record.fingerprint] |= set(record.crash_ids)
         self.cleared[record.fingerprint] |= set(record.cleared_ids)
 
-    def standing(self, fingerprint):
+    def trust_level(self, fingerprint):
         n_crashes = len(self.charged[fingerprint] - self.cleared[fingerprint])
         if n_crashes >= N_CRASHES_MAX:
-            return Standing.QUARANTINED
+            return TrustLevel.QUARANTINED
         if n_crashes >= N_CRASHES_ISOLATED:
-            return Standing.SUSPECT
-        return Standing.TRUSTED
+            return TrustLevel.SUSPECT
+        return TrustLevel.TRUSTED
 
 
 def tell(sender, receiver):
@@ -81,8 +81,8 @@
             for receiver in fleet:
                 tell(sender, receiver)
     for quarantine in fleet:
-        found = [quarantine.standing(request, 0) for request in REQUESTS]
-        assert found == [naive.standing(request) for request in REQUESTS]
+        found = [quarantine.trust_level(request, 0) for request in REQUESTS]
+        assert found == [naive.trust_level(request) for request in REQUESTS]
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -94,5 +94,5 @@
         fleet[daemon].record_crash([POISON], f"p{index}", 0)
         for receiver in fleet:
             tell(fleet[daemon], receiver)
-    standings = {quarantine.standing(POISON, 0) for quarantine in fleet}
-    assert standings == {Standing.QUARANTINED}
+    standings = {quarantine.trust_level(POISON, 0) for quarantine in fleet}
+    assert standings == {TrustLevel.QUARANTINED}
--- a/tests/test_returning_callers.py
+++ b/tests/test_returning_callers.py
@@ -12,7 +12,7 @@
 from pepperstair_core.calls import AcceptanceRates
 from pepperstair_http import Response
 
-from .call_mesh import Mesh, retry_after_ms, run_of
+from .call_mesh import Mesh, retry_after_ms, status_and_run
 from .test_last_hop import ID, OPTIONS
 
 WORK_MS = 250.0
@@ -79,5 +79,5 @@
             return await mesh.call(headers=(ID,))
 
     response = asyncio.run(run())
-    assert run_of(response) == (503, "no")
+    assert status_and_run(response) == (503, "no")
     assert 0 < retry_after_ms(response) < 100
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,7 +7,11 @@
 from pepperstair_core.intent import Intent, LabelOverride, Route, Service
 from pepperstair_core.labels import parse_selector
 from pepperstair_core.members import Member, MemberState, Target, TargetState
-from pepperstair_core.routing import EndpointTable, compile_routes, overrides_of
+from pepperstair_core.routing import (
+    EndpointTable,
+    compile_routes,
+    label_overrides_by_workload,
+)
 from pepperstair_core.versions import Head, Snapshot, digest_of, encode_intent
 
 
@@ -89,7 +93,7 @@
     )
     for snapshots in ([first, second], [second, first]):
         assert compile_routes(snapshots, {}).match("", "/x").customer == "a"
-        assert overrides_of(snapshots)["t1"] == {"app": "b"}
+        assert label_overrides_by_workload(snapshots)["t1"] == {"app": "b"}
 
 
 def test_endpoints_leave_out_draining_targets_and_gone_members():
@@ -111,7 +115,7 @@
             member_of("a", MemberState.ALIVE, target_of("t1")),
             member_of("b", MemberState.ALIVE, target_of("t2")),
         ],
-        overrides_of([snapshot_of("lantern", overrides=overrides)]),
+        label_overrides_by_workload([snapshot_of("lantern", overrides=overrides)]),
     )
     vault = table.endpoints(parse_selector("app=vault").unwrap())
     assert [endpoint.target.name for endpoint in vault] == ["t1"]
--- a/tests/test_run_memory.py
+++ b/tests/test_run_memory.py
@@ -5,9 +5,9 @@
 from pepperstair_core.calls.run_memory import (
     ANSWER_KEPT_MAX_BYTES,
     FORGET_MARGIN_MS,
-    Admission,
     CallKey,
     KeptAnswer,
+    RunAdmission,
     RunMemory,
     RunState,
     Sender,
@@ -24,7 +24,7 @@
 
 def test_answer_is_kept_until_it_is_released():
     memory = RunMemory(10)
-    assert memory.begin(key(1), 1, 1000, 0) is Admission.TAKEN
+    assert memory.begin(key(1), 1, 1000, 0) is RunAdmission.TAKEN
     assert memory.look_up(key(1), 1, 1).state is RunState.RUNNING
     memory.finish(key(1), ANSWER)
     assert memory.look_up(key(1), 1, 2).answer == ANSWER
@@ -37,23 +37,23 @@
     """A head is repeated on its way; the second must not give a second award."""
     memory = RunMemory(10)
     memory.begin(key(1), 1, 1000, 0)
-    assert memory.begin(key(1), 1, 1000, 1) is Admission.REPEATED
+    assert memory.begin(key(1), 1, 1000, 1) is RunAdmission.REPEATED
 
 
 def test_denied_call_never_runs_from_an_earlier_stream():
     """The head arrives after its caller was told that it had not run."""
     memory = RunMemory(10)
     assert memory.look_up(key(1), 2, 0).state is RunState.NEVER_RUN
-    assert memory.begin(key(1), 1, 1000, 1) is Admission.REPEATED
+    assert memory.begin(key(1), 1, 1000, 1) is RunAdmission.REPEATED
     much_later_ms = 10 * FORGET_MARGIN_MS
-    assert memory.begin(key(1), 1, 1000, much_later_ms) is Admission.REPEATED
+    assert memory.begin(key(1), 1, 1000, much_later_ms) is RunAdmission.REPEATED
 
 
 def test_denied_call_may_be_sent_again_once():
     memory = RunMemory(10)
     memory.look_up(key(1), 2, 0)
-    assert memory.begin(key(1), 2, 60_000, 1) is Admission.TAKEN
-    assert memory.begin(key(1), 2, 60_000, 2) is Admission.REPEATED
+    assert memory.begin(key(1), 2, 60_000, 1) is RunAdmission.TAKEN
+    assert memory.begin(key(1), 2, 60_000, 2) is RunAdmission.REPEATED
     memory.finish(key(1), ANSWER)
     assert memory.look_up(key(1), 2, FORGET_MARGIN_MS + 1).answer == ANSWER
 
@@ -65,8 +65,8 @@
     memory.finish(key(1), ANSWER)
     later_ms = 1001 + FORGET_MARGIN_MS
     assert memory.look_up(key(1), 1, later_ms).state is RunState.UNKNOWN
-    assert memory.begin(key(1), 1, 1000, later_ms) is Admission.REPEATED
-    assert memory.begin(key(2), 1, 1000, later_ms) is Admission.TAKEN
+    assert memory.begin(key(1), 1, 1000, later_ms) is RunAdmission.REPEATED
+    assert memory.begin(key(2), 1, 1000, later_ms) is RunAdmission.TAKEN
 
 
 def test_running_call_is_never_forgotten():
@@ -79,9 +79,9 @@
     """A flood of bookings; dropping old ones would let them run a second time."""
     memory = RunMemory(3)
     admitted = [memory.begin(key(call_id), 1, 1000, 0) for call_id in range(1, 5)]
-    assert admitted == [Admission.TAKEN] * 3 + [Admission.FULL]
+    assert admitted == [RunAdmission.TAKEN] * 3 + [RunAdmission.FULL]
     assert memory.look_up(key(1), 1, 1).state is RunState.RUNNING
-    assert memory.begin(key(4), 1, 1000, 2) is Admission.FULL
+    assert memory.begin(key(4), 1, 1000, 2) is RunAdmission.FULL
 
 
 def test_kept_answers_are_bounded_in_bytes():
@@ -89,9 +89,9 @@
     for call_id in (1, 2):
         memory.begin(key(call_id), 1, 1000, 0)
         memory.finish(key(call_id), ANSWER)
-    assert memory.begin(key(3), 1, 1000, 0) is Admission.FULL
+    assert memory.begin(key(3), 1, 1000, 0) is RunAdmission.FULL
     memory.release(key(1))
-    assert memory.begin(key(3), 1, 1000, 0) is Admission.TAKEN
+    assert memory.begin(key(3), 1, 1000, 0) is RunAdmission.TAKEN
 
 
 def test_huge_answer_is_not_kept():
@@ -105,4 +105,4 @@
     memory = RunMemory(10)
     memory.begin(key(1), 1, 1000, 0)
     successor = CallKey(Sender("vm-1", 8), 1)
-    assert memory.begin(successor, 1, 1000, 0) is Admission.TAKEN
+    assert memory.begin(successor, 1, 1000, 0) is RunAdmission.TAKEN
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -13,7 +13,7 @@
     JOINING_MS,
     N_WATCHERS,
     ReadSchedule,
-    place_among_readers,
+    reader_rank,
 )
 
 BOUND_MS = 2000.0
@@ -136,8 +136,7 @@
             ]
             living = [member for member in members if member.vm not in gone]
             self._places[key] = {
-                member.vm: place_among_readers(member, living, "config")
-                for member in members
+                member.vm: reader_rank(member, living, "config") for member in members
             }
         return self._places[key][daemon.name]
 
@@ -190,7 +189,7 @@
 
     def _fail(self, daemon: Daemon) -> None:
         daemon.reading = None
-        daemon.schedule.fail(self.now_ms)
+        daemon.schedule.record_read_failure(self.now_ms)
         daemon.rests_until_ms = self.now_ms + daemon.backoff_ms
         daemon.backoff_ms = min(1000.0, 2 * daemon.backoff_ms)
 
@@ -286,12 +285,12 @@
         Member(f"vm-{link}", 1, 0, MemberState.ALIVE, "z", "", (), link_mbps=link)
         for link in links
     ]
-    places = [place_among_readers(member, members, "config") for member in members]
+    places = [reader_rank(member, members, "config") for member in members]
     assert places[0] == 4 and places[2] == 3 and places[4] == 0
     assert {places[1], places[3]} == {1, 2}
 
 
-def test_daemons_that_start_together_do_not_all_read_over_narrow_links():
+def test_daemons_that_start_together_do_not_all_read_over_slow_links():
     """Guards against copies from neighbours that wait behind a read of the store."""
     schedule = ReadSchedule(BOUND_MS, 0.0, random.Random(1), read_ms=600.0)
     first_ms = schedule.due_ms(0, 0.0)
--- a/tests/test_splits.py
+++ b/tests/test_splits.py
@@ -9,7 +9,7 @@
 
 from pepperstair_core.calls import AnswerSizes, CallerTimeouts
 from pepperstair_core.intent import Intent, Route, Service, Split, iter_intent_faults
-from pepperstair_core.routing import compile_routes, pick_part
+from pepperstair_core.routing import compile_routes, pick_destination
 from pepperstair_core.versions import Head, Snapshot
 
 SERVICES = (Service("ledger", "app=ledger"), Service("vault", "app=vault"))
@@ -27,11 +27,16 @@
 def test_parts_get_their_shares():
     route = compiled(Split("ledger", 90), Split("vault", 10))
     rng = Random(7)
-    found = Counter(pick_part(route, rng).service.name for _ in range(4000))
+    found = Counter(pick_destination(route, rng).service.name for _ in range(4000))
     assert abs(found["vault"] / 4000 - 0.1) < 0.02
-    assert pick_part(compiled(Split("ledger", 0), Split("vault", 1)), rng) is not None
+    assert (
+        pick_destination(compiled(Split("ledger", 0), Split("vault", 1)), rng)
+        is not None
+    )
     only = {
-        pick_part(compiled(Split("ledger", 0), Split("vault", 1)), rng).service.name
+        pick_destination(
+            compiled(Split("ledger", 0), Split("vault", 1)), rng
+        ).service.name
     }
     assert only == {"vault"}
 
--- a/tests/test_target_crashes.py
+++ b/tests/test_target_crashes.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
-from pepperstair_core.calls import Standing
+from pepperstair_core.calls import TrustLevel
 from pepperstair_core.errors import ErrorKind
 from pepperstair_core.members import TargetState
-from tests.call_mesh import Mesh, answer_ok, http, run_of, seen
+from tests.call_mesh import Mesh, answer_ok, http_answer, status_and_run, wait_until
 
 N_CRASHES = 3
 
@@ -78,20 +78,20 @@
 async def test_end_of_a_target_is_told_from_a_cut_connection(mesh):
     """Guards against suspecting requests whose target lost a single connection."""
     await add(mesh, "a", answer_by_path(cut=cut, crash=crash))
-    assert run_of(await mesh.call(path="/cut")) == (502, "unknown")
+    assert status_and_run(await mesh.call(path="/cut")) == (502, "unknown")
     assert mesh.outcomes[-1].error is ErrorKind.TARGET_FAILED
     assert mesh.crashes == []
-    assert run_of(await mesh.call(path="/crash")) == (502, "unknown")
+    assert status_and_run(await mesh.call(path="/crash")) == (502, "unknown")
     assert mesh.outcomes[-1].error is ErrorKind.TARGET_CRASHED
     (report,) = mesh.crashes
     assert len(report[1]) == 1
 
 
 @on_mesh()
-async def test_end_of_a_target_is_seen_through_a_listener_that_outlives_it(mesh):
+async def test_exit_of_a_target_is_detected_behind_a_listener_that_outlives_it(mesh):
     """Guards against a crash that is taken for cut connections, again and again."""
     await add(mesh, "a", answer_by_path(crash=crash_behind_listener))
-    assert run_of(await mesh.call(path="/crash")) == (502, "unknown")
+    assert status_and_run(await mesh.call(path="/crash")) == (502, "unknown")
     assert mesh.outcomes[-1].error is ErrorKind.TARGET_CRASHED
     assert len(mesh.crashes) == 1
 
@@ -110,7 +110,7 @@
     raw = await add(mesh, "a", answer_by_path(slow=slow, crash=crash_but_one))
     await asyncio.gather(mesh.call(path="/slow"), mesh.call(path="/slow"))
     assert len(raw.writers) == 2
-    assert run_of(await mesh.call(path="/crash")) == (502, "unknown")
+    assert status_and_run(await mesh.call(path="/crash")) == (502, "unknown")
     assert mesh.outcomes[-1].error is ErrorKind.TARGET_CRASHED
     assert len(mesh.crashes) == 1
 
@@ -120,8 +120,8 @@
     """Guards against a new connection for each answer that a target cuts off."""
     raw = await add(mesh, "a", answer_by_path(slow=slow, cut=cut))
     running = [asyncio.ensure_future(mesh.call(path="/slow")) for _ in range(2)]
-    await seen(lambda: len(raw.heads) == 2)
-    assert run_of(await mesh.call(path="/cut")) == (502, "unknown")
+    await wait_until(lambda: len(raw.heads) == 2)
+    assert status_and_run(await mesh.call(path="/cut")) == (502, "unknown")
     await asyncio.gather(*running)
     assert len(raw.writers) == 3
     assert mesh.crashes == []
@@ -132,9 +132,9 @@
     """Guards against a crash that nobody is charged with."""
     raw = await add(mesh, "a", answer_by_path(crash=crash_behind_listener))
     calling = asyncio.ensure_future(mesh.call(path="/crash"))
-    await seen(lambda: raw.is_down)
+    await wait_until(lambda: raw.is_down)
     calling.cancel()
-    await seen(lambda: mesh.crashes)
+    await wait_until(lambda: mesh.crashes)
 
 
 @on_mesh()
@@ -158,9 +158,9 @@
     """Guards against blaming a request for the planned end of its target."""
     raw = await add(mesh, "a", answer_by_path(crash=crash))
     calling = asyncio.ensure_future(mesh.call(path="/crash"))
-    await seen(lambda: raw.heads)
+    await wait_until(lambda: raw.heads)
     mesh.announce("a", TargetState.DRAINING)
-    assert run_of(await calling) == (502, "unknown")
+    assert status_and_run(await calling) == (502, "unknown")
     assert mesh.outcomes[-1].error is ErrorKind.TARGET_FAILED
     assert mesh.crashes == []
 
@@ -171,15 +171,15 @@
     raw = await add(mesh, "a", answer_ok)
     runner = mesh.nodes["a"].runner
     for quarantine in (runner._quarantine, mesh.context.quarantine):
-        assert run_of(await mesh.call(path="/poison")) == (200, "yes")
+        assert status_and_run(await mesh.call(path="/poison")) == (200, "yes")
         (fingerprint,) = mesh.fingerprints[-1:]
         for index in range(N_CRASHES):
             quarantine.record_crash([fingerprint], f"vm/{index}", mesh.now_ms())
         n_before = len(raw.heads)
         refused = await mesh.call(path="/poison")
-        assert run_of(refused) == (503, "no")
+        assert status_and_run(refused) == (503, "no")
         assert len(raw.heads) == n_before
-        assert run_of(await mesh.call(path="/other")) == (200, "yes")
+        assert status_and_run(await mesh.call(path="/other")) == (200, "yes")
         quarantine.record_answer(fingerprint)
 
 
@@ -190,7 +190,7 @@
 
     async def wait(target, writer, head):
         await release.wait()
-        writer.write(http(b"done"))
+        writer.write(http_answer(b"done"))
 
     raw = await add(mesh, "a", answer_by_path(one=wait, two=wait))
     quarantine = mesh.nodes["a"].runner._quarantine
@@ -200,14 +200,14 @@
         for index in range(N_CRASHES - 1):
             found = mesh.fingerprints[-1]
             quarantine.record_crash([found], f"{path}/{index}", mesh.now_ms())
-        assert quarantine.standing(found, mesh.now_ms()) is Standing.SUSPECT
+        assert quarantine.trust_level(found, mesh.now_ms()) is TrustLevel.SUSPECT
     release.clear()
     raw.heads.clear()
     first = asyncio.ensure_future(mesh.call(path="/one"))
-    await seen(lambda: raw.heads)
-    assert run_of(await mesh.call(path="/two")) == (503, "no")
-    assert run_of(await mesh.call(path="/other")) == (200, "yes")
+    await wait_until(lambda: raw.heads)
+    assert status_and_run(await mesh.call(path="/two")) == (503, "no")
+    assert status_and_run(await mesh.call(path="/other")) == (200, "yes")
     release.set()
-    assert run_of(await first) == (200, "yes")
-    assert run_of(await mesh.call(path="/two")) == (200, "yes")
-    assert quarantine.standing(found, mesh.now_ms()) is Standing.TRUSTED
+    assert status_and_run(await first) == (200, "yes")
+    assert status_and_run(await mesh.call(path="/two")) == (200, "yes")
+    assert quarantine.trust_level(found, mesh.now_ms()) is TrustLevel.TRUSTED
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,7 +5,7 @@
 import msgpack
 import pytest
 
-from pepperstair_core.errors import ErrorKind, Run
+from pepperstair_core.errors import ErrorKind, RunStatus
 from pepperstair_core.members import Member, MemberState, Target, TargetState
 from pepperstair_core.wire import (
     AnswerHead,
@@ -23,7 +23,7 @@
 )
 FRAMES = [
     Heartbeat(7, (("ledger-1", 3, 4),)),
-    CallFailed(1, ErrorKind.OVERLOADED, Run.NO, "full", 250),
+    CallFailed(1, ErrorKind.OVERLOADED, RunStatus.NO, "full", 250),
     BodyPart(9, b"loot"),
     MemberUpdate(
         (Member("a", 1, 2, MemberState.ALIVE, "z", "127.0.0.1:2", (), (TARGET,)),)
