--- a/benchmarks/burn.py
+++ b/benchmarks/burn.py
@@ -13,7 +13,7 @@
 from pepperstair_core.burn.counts import N_CONVERGENCES_MAX, N_CUSTOMERS_MAX
 from pepperstair_core.calls import CallOutcome
 from pepperstair_core.errors import RunStatus
-from pepperstaird.timings import Timings
+from pepperstaird.timings import DurationHistogram
 
 from .machine import describe_machine
 
@@ -25,7 +25,7 @@
 def main() -> int:
     """Print cost per call, cost per report and memory."""
     print(f"make bench-burn; {describe_machine()}")
-    counts, timings = BurnCounts(0), Timings()
+    counts, timings = BurnCounts(0), DurationHistogram()
     outcomes = [
         CallOutcome(f"c{i}", "r", "urgent", 200, None, RunStatus.YES, 3.0, 0)
         for i in range(N_CUSTOMERS_MAX)
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -13,7 +13,7 @@
 from .fleet import DaemonProcess, running_fleet, status_of, wait_until
 from .machine import describe_machine
 
-LEFT_OUT = "import pepperstaird.light_imports as l; l.leave_out()"
+LEFT_OUT = "import pepperstaird.light_imports as l; l.block_imports()"
 IMPORTS = (
     ("interpreter", "pass"),
     ("libraries left out", LEFT_OUT),
--- a/benchmarks/naive/__main__.py
+++ b/benchmarks/naive/__main__.py
@@ -15,7 +15,7 @@
     parser = argparse.ArgumentParser(prog="benchmarks.naive", description=__doc__)
     parser.add_argument("--settings", type=Path, required=True, help="TOML file")
     path = parser.parse_args().settings
-    light_imports.leave_out()
+    light_imports.block_imports()
     from pepperstair_core.config import parse_settings_toml
     from pepperstaird.logs import configure_logs
 
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -15,10 +15,10 @@
 _IMPORTS = """
 import gc, resource
 from pepperstaird import light_imports
-light_imports.leave_out()
+light_imports.block_imports()
 gc.disable()
 from pepperstaird.running import run_daemon
-from pepperstair_adapter.composition import platform_edges
+from pepperstair_adapter.composition import platform_dependencies
 usage = resource.getrusage(resource.RUSAGE_SELF)
 print(usage.ru_utime + usage.ru_stime, usage.ru_maxrss)
 """
--- a/packages/pepperstair-callers/pepperstair_callers/attempt_ends.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempt_ends.py
@@ -70,14 +70,14 @@
     return EndKind.ABANDONED
 
 
-def classify_answer(status: int, is_whole: bool) -> EndKind:
+def classify_answer(status: int, is_complete: bool) -> EndKind:
     """Return how an answer counts for its target.
 
-    `is_whole` is false where the answer was cut off while it was relayed.
+    `is_complete` is false where the answer was cut off while it was relayed.
     """
-    if is_whole and status in _SHEDDING_STATUSES:
+    if is_complete and status in _SHEDDING_STATUSES:
         return EndKind.REFUSED
-    if not is_whole or status >= 500:
+    if not is_complete or status >= 500:
         return EndKind.ERROR
     return EndKind.GOOD
 
--- a/packages/pepperstair-callers/pepperstair_callers/attempts.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempts.py
@@ -178,7 +178,7 @@
         return (
             response.status in FAILED_STATUSES
             and self._is_idempotent
-            and response.body.is_whole
+            and response.body.is_complete
             and self.time_left_ms > self.timeout_ms * RETRY_MIN_TIME_SHARE
         )
 
@@ -225,14 +225,14 @@
         self.end(CallEnd(kind, self._attempt_start_ms, latency_ms, avoid_ms, route))
 
     def end_answered(
-        self, response: StreamedResponse, is_whole: bool, n_bytes: int
+        self, response: StreamedResponse, is_complete: bool, n_bytes: int
     ) -> None:
         """Record the end of an answer that was relayed to the caller.
 
         Errors and cut answers count against the target regardless of the state that
         it announces or reports on a health endpoint.
         """
-        kind = classify_answer(response.status, is_whole)
+        kind = classify_answer(response.status, is_complete)
         self._record_tried(str(response.status), self._latency_ms)
         waited = header_value(response.headers, WAITED_HEADER)
         waited_ms = int(waited) if waited.isdigit() else 0
--- a/packages/pepperstair-callers/pepperstair_callers/proxy.py
+++ b/packages/pepperstair-callers/pepperstair_callers/proxy.py
@@ -57,7 +57,7 @@
         """Answer one request with the target's whole answer or with a failure."""
         self.n_calls += 1
         self.n_in_flight += 1
-        start_ms = self._context.now_ms() - exchange.held_s * 1000
+        start_ms = self._context.now_ms() - exchange.queued_s * 1000
         call: ProxiedCall | None = None
         # The outcome if none is set below, as when this task is cancelled because the
         # connection closed: the caller has disconnected.
@@ -76,9 +76,9 @@
                 await answer_failure(exchange, failure, self._context.header_names)
                 return
             call.run = RunStatus.YES
-            is_whole = await self._relay_answer(exchange, call, response)
+            is_complete = await self._relay_answer(exchange, call, response)
             status = response.status
-            error = None if is_whole else ErrorKind.TARGET_FAILED
+            error = None if is_complete else ErrorKind.TARGET_FAILED
         except ConnectionLostError:
             # The caller's connection closed before the request body was complete.
             exchange.abort()
@@ -191,23 +191,23 @@
         may have to wait for the answer to an earlier request on the caller's
         connection; a slot held until then would be idle and make the target look busy.
         """
-        if response.body.is_whole:
+        if response.body.is_complete:
             response.cancel()
             n_bytes = response.body.n_bytes + response.body.n_read_bytes
             call.end_answered(response, True, n_bytes)
             return await relay(exchange, response)
-        is_whole = False
+        is_complete = False
         is_answered = False
         try:
-            is_whole = await relay(exchange, response)
+            is_complete = await relay(exchange, response)
             is_answered = True
         finally:
             response.cancel()
             if is_answered:
-                call.end_answered(response, is_whole, response.body.n_read_bytes)
+                call.end_answered(response, is_complete, response.body.n_read_bytes)
             else:
                 call.abandon()
-        return is_whole
+        return is_complete
 
     def _finish(
         self,
--- a/packages/pepperstair-callers/pepperstair_callers/request_body.py
+++ b/packages/pepperstair-callers/pepperstair_callers/request_body.py
@@ -55,7 +55,7 @@
     def buffer_nowait(self) -> bool:
         """Buffer a small body that has arrived whole; return whether it had."""
         source = self._source
-        if not source.is_whole or source.n_bytes > REPLAY_MAX_BYTES:
+        if not source.is_complete or source.n_bytes > REPLAY_MAX_BYTES:
             return False
         parts = []
         while part := source.read_nowait():
--- a/packages/pepperstair-core/pepperstair_core/distribution/applying.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/applying.py
@@ -115,8 +115,8 @@
         return
     customer.received_version = customer.held_version
     cause = "; ".join(map(str, made.unwrap_err()))
-    is_whole = digest_of(received.body) == head.digest
-    if is_whole or received.sender == PLATFORM:
+    is_complete = digest_of(received.body) == head.digest
+    if is_complete or received.sender == PLATFORM:
         yield from _reject(state, customer, received, cause, now_ms)
         return
     yield RecordDecision(
--- a/packages/pepperstair-http/pepperstair_http/__init__.py
+++ b/packages/pepperstair-http/pepperstair_http/__init__.py
@@ -8,7 +8,7 @@
 from .exchange import Exchange, Handler
 from .fetch import Fetcher
 from .header_names import PRODUCT_HEADERS, HeaderNames
-from .limits import AheadLimits, ServerLimits
+from .limits import PipelineLimits, ServerLimits
 from .messages import (
     Headers,
     Request,
@@ -19,12 +19,12 @@
 )
 from .receiving import ReceivingProtocol
 from .server import HttpServer
-from .sockets import notice_silence
+from .sockets import detect_dead_peer
 from .writing import WriteGate
 
 __all__ = [
     "PRODUCT_HEADERS",
-    "AheadLimits",
+    "PipelineLimits",
     "BodyBuffer",
     "ClientConnection",
     "ConnectionLostError",
@@ -45,5 +45,5 @@
     "connect",
     "end_to_end_headers",
     "header_value",
-    "notice_silence",
+    "detect_dead_peer",
 ]
--- a/packages/pepperstair-http/pepperstair_http/body.py
+++ b/packages/pepperstair-http/pepperstair_http/body.py
@@ -67,7 +67,7 @@
         return body
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the end of the body has arrived."""
         return self._is_complete
 
@@ -129,7 +129,7 @@
             parts.append(part)
         return b"".join(parts)
 
-    async def gather(self, max_bytes: int) -> None:
+    async def prefetch(self, max_bytes: int) -> None:
         """Wait until the body is complete or `max_bytes` of it are buffered.
 
         Raise if the body is cut off. Nothing is consumed, so that the reader still
--- a/packages/pepperstair-http/pepperstair_http/client.py
+++ b/packages/pepperstair-http/pepperstair_http/client.py
@@ -11,7 +11,7 @@
 from .body import HIGH_WATER_BYTES, BodyBuffer, ConnectionLostError
 from .messages import Headers, ResponseHead, header_value
 from .receiving import ReceivingProtocol
-from .sockets import notice_silence
+from .sockets import detect_dead_peer
 from .writing import WriteGate, reset_connection
 
 log = structlog.get_logger(__name__)
@@ -75,7 +75,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._gate.lose()
+        self._gate.mark_lost()
         self._fail(
             ConnectionLostError("connection lost before the answer was complete")
         )
@@ -126,9 +126,9 @@
         """Wait for the head of the answer, or raise ConnectionLostError."""
         return await self._head
 
-    def notice_silence(self, unacknowledged_ms: int) -> None:
+    def detect_dead_peer(self, unacknowledged_ms: int) -> None:
         """Make the connection fail if sent data stays unacknowledged for so long."""
-        notice_silence(self._transport, unacknowledged_ms)
+        detect_dead_peer(self._transport, unacknowledged_ms)
 
     def close(self) -> None:
         """Reset the connection, which cancels a request in progress."""
--- a/packages/pepperstair-http/pepperstair_http/connection.py
+++ b/packages/pepperstair-http/pepperstair_http/connection.py
@@ -80,7 +80,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._server.connections.discard(self)
-        self._gate.lose()
+        self._gate.mark_lost()
         newest = self._pipeline.newest
         if newest is not None:
             newest.body.fail(ConnectionLostError("the client disconnected"))
@@ -120,7 +120,7 @@
             return True
         newest = self._pipeline.newest
         is_waiting_for_client = (
-            newest is None or not newest.is_whole or not self._gate.is_open
+            newest is None or not newest.is_complete or not self._gate.is_open
         )
         silent_s = now_s - self._last_activity_s
         if not is_waiting_for_client or silent_s < limits.idle_timeout_ms / 1000:
@@ -273,7 +273,7 @@
                     return
                 self._server.counters.n_ahead += 1
             exchange.is_started = True
-            exchange.held_s = self._loop.time() - exchange.arrived_s
+            exchange.queued_s = self._loop.time() - exchange.arrived_s
             self._tasks[exchange] = self._loop.create_task(self._handle(exchange))
 
     def _send_continue(self, state: h11.Connection) -> None:
@@ -360,7 +360,7 @@
         the connection is reset.
         """
         newest = self._pipeline.newest
-        if newest is not None and not newest.is_whole:
+        if newest is not None and not newest.is_complete:
             if newest.is_started:
                 self._server.counters.n_malformed += 1
                 self.abort()
--- a/packages/pepperstair-http/pepperstair_http/exchange.py
+++ b/packages/pepperstair-http/pepperstair_http/exchange.py
@@ -48,7 +48,7 @@
 
     An answer waits until all earlier requests of the connection are answered. `state`
     is the h11 connection for this request and its answer only. `is_started` is set
-    once the handler runs; `held_s` is how long the request waited behind earlier
+    once the handler runs; `queued_s` is how long the request waited behind earlier
     requests before, which is part of the time that its client has waited.
     """
 
@@ -58,7 +58,7 @@
         "body",
         "arrived_s",
         "has_started_answer",
-        "held_s",
+        "queued_s",
         "is_started",
         "request",
         "state",
@@ -73,7 +73,7 @@
         arrived_s: float = 0.0,
     ) -> None:
         self.arrived_s = arrived_s
-        self.held_s = 0.0
+        self.queued_s = 0.0
         self._channel = channel
         self._waiting_answer: BodyBuffer | None = None
         self.state = state
@@ -83,9 +83,9 @@
         self.is_started = False
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the whole request has arrived."""
-        return self.body.is_whole
+        return self.body.is_complete
 
     @property
     def is_repeatable(self) -> bool:
--- a/packages/pepperstair-http/pepperstair_http/fetch.py
+++ b/packages/pepperstair-http/pepperstair_http/fetch.py
@@ -94,7 +94,7 @@
 
     async def _open(self) -> ClientConnection:
         connection = await connect(self._host, self._port)
-        connection.notice_silence(self._timeout_ms)
+        connection.detect_dead_peer(self._timeout_ms)
         return connection
 
     def _take_idle(self) -> ClientConnection | None:
--- a/packages/pepperstair-http/pepperstair_http/limits.py
+++ b/packages/pepperstair-http/pepperstair_http/limits.py
@@ -12,7 +12,7 @@
 _N_SWEEPS_PER_TIMEOUT: Final = 4
 
 
-class AheadLimits(Struct, frozen=True):
+class PipelineLimits(Struct, frozen=True):
     """Limits on the requests that a client pipelines on one connection.
 
     Up to `n_requests_max` requests run concurrently. Up to `request_max_bytes` of
@@ -36,7 +36,7 @@
     header_max_bytes: int = 16_384
     idle_timeout_ms: int = 60_000
     header_timeout_ms: int = 0
-    ahead: AheadLimits = field(default_factory=AheadLimits)
+    ahead: PipelineLimits = field(default_factory=PipelineLimits)
 
     @property
     def head_timeout_s(self) -> float:
@@ -65,4 +65,4 @@
     n_dropped: int = 0
 
 
-__all__ = ["AheadLimits", "ServerCounters", "ServerLimits"]
+__all__ = ["PipelineLimits", "ServerCounters", "ServerLimits"]
--- a/packages/pepperstair-http/pepperstair_http/pipeline.py
+++ b/packages/pepperstair-http/pepperstair_http/pipeline.py
@@ -22,7 +22,7 @@
     is_started: bool
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the whole request has arrived."""
 
     @property
@@ -89,7 +89,7 @@
             if before is not None and not before.is_repeatable:
                 break
             if not request.is_started:
-                may_overtake = request.is_whole and request.is_repeatable
+                may_overtake = request.is_complete and request.is_repeatable
                 if before is not None and not may_overtake:
                     break
                 found.append(request)
--- a/packages/pepperstair-http/pepperstair_http/sockets.py
+++ b/packages/pepperstair-http/pepperstair_http/sockets.py
@@ -13,7 +13,7 @@
 _N_KEEPALIVE_PROBES: Final = 2
 
 
-def notice_silence(transport: asyncio.BaseTransport, unacknowledged_ms: int) -> None:
+def detect_dead_peer(transport: asyncio.BaseTransport, unacknowledged_ms: int) -> None:
     """Make a connection fail if its peer no longer acknowledges data.
 
     Sent data may stay unacknowledged for up to `unacknowledged_ms`. A middlebox
@@ -31,4 +31,4 @@
     sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, unacknowledged_ms)
 
 
-__all__ = ["notice_silence"]
+__all__ = ["detect_dead_peer"]
--- a/packages/pepperstair-http/pepperstair_http/writing.py
+++ b/packages/pepperstair-http/pepperstair_http/writing.py
@@ -46,7 +46,7 @@
         self.is_open = True
         self._release()
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """Make all current and later waits raise, as the connection is closed."""
         self._is_lost = True
         self._release()
--- a/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
@@ -115,8 +115,8 @@
         load = self._load_of(self.head.target)
         head = AnswerHead(self.head.call_id, response.status, response.headers, *load)
         part = response.body.read_nowait()
-        is_whole = response.body.is_empty and self.pacer.may_send_whole(len(part))
-        if is_whole and self.credit.try_acquire(len(part)):
+        is_complete = response.body.is_empty and self.pacer.may_send_whole(len(part))
+        if is_complete and self.credit.try_acquire(len(part)):
             parts = [BodyPart(self.head.call_id, data) for data in iter_parts(part)]
             self.send(head, *parts, BodyEnd(self.head.call_id))
             return self._keep(response, [part]) if self.is_recorded else None
@@ -176,7 +176,7 @@
         Unneeded credit would cost a write here and a wake-up of the other daemon
         for each small call.
         """
-        if self.body.is_whole:
+        if self.body.is_complete:
             return
         self.send(Credit(self.head.call_id, n_bytes))
 
--- a/packages/pepperstair-peers/pepperstair_peers/stream.py
+++ b/packages/pepperstair-peers/pepperstair_peers/stream.py
@@ -69,7 +69,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.gate.lose()
+        self.gate.mark_lost()
         for callback in self.closed_callbacks:
             callback(self._reason)
 
--- a/packages/pepperstair-targets/pepperstair_targets/answer_body.py
+++ b/packages/pepperstair-targets/pepperstair_targets/answer_body.py
@@ -33,9 +33,9 @@
         self._idle_timeout_s = idle_timeout_s
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the end of the body has arrived."""
-        return self._source.is_whole
+        return self._source.is_complete
 
     @property
     def is_empty(self) -> bool:
--- a/packages/pepperstair-targets/pepperstair_targets/pool.py
+++ b/packages/pepperstair-targets/pepperstair_targets/pool.py
@@ -121,7 +121,7 @@
     async def _connect(self, timeout_s: float) -> ClientConnection:
         async with asyncio.timeout(timeout_s):
             connection = await connect(self._host, self._port)
-        connection.notice_silence(UNACKNOWLEDGED_MS)
+        connection.detect_dead_peer(UNACKNOWLEDGED_MS)
         return connection
 
 
--- a/packages/pepperstair-targets/pepperstair_targets/runner.py
+++ b/packages/pepperstair-targets/pepperstair_targets/runner.py
@@ -246,7 +246,7 @@
         self._registry.deregister(local.target.name)
 
     def _record_answer(self, head: CallHead, response: StreamedResponse) -> None:
-        if response.status >= _FAILED_STATUS or not response.body.is_whole:
+        if response.status >= _FAILED_STATUS or not response.body.is_complete:
             return
         cleared = self._quarantine.record_answer(head.fingerprint)
         if cleared is not None:
--- a/packages/pepperstair-targets/pepperstair_targets/target_call.py
+++ b/packages/pepperstair-targets/pepperstair_targets/target_call.py
@@ -131,7 +131,7 @@
             self._abort()
             raise
         body = self._connection.body
-        if not body.is_whole:
+        if not body.is_complete:
             body = AnswerBody(self._connection)
         return StreamedResponse(answer.status, answer.headers, body, self.end)
 
@@ -200,7 +200,7 @@
     async def _buffer_answer(self, answer: ResponseHead) -> None:
         """Buffer an answer of up to `n_buffered_max_bytes` whole."""
         try:
-            await self._connection.body.gather(self._n_buffered_max_bytes)
+            await self._connection.body.prefetch(self._n_buffered_max_bytes)
         except ConnectionLostError as error:
             raise self._lost_connection_error(error) from error
 
@@ -280,7 +280,7 @@
     """Return the body if it has arrived whole, so that one write is enough."""
     if not head.has_body:
         return b""
-    if not body.is_whole:
+    if not body.is_complete:
         return None
     parts = []
     while part := body.read_nowait():
--- a/packages/pepperstaird/pepperstaird/__main__.py
+++ b/packages/pepperstaird/pepperstaird/__main__.py
@@ -65,14 +65,14 @@
     if check:
         print(f"{settings}: settings are valid")
         return EXIT_OK
-    light_imports.leave_out()
+    light_imports.block_imports()
     callers_socket = open_listening_socket(parsed.unwrap().callers.address)
     # Imported only here: these modules import asyncio and structlog, which would
     # otherwise import the libraries that have just been blocked.
-    from .product import product_edges
+    from .product import product_dependencies
     from .running import run_daemon
 
-    return run_daemon(parsed.unwrap(), product_edges(), callers_socket)
+    return run_daemon(parsed.unwrap(), product_dependencies(), callers_socket)
 
 
 def read_settings(path: Path) -> Result[Settings, list[Fault]]:
--- a/packages/pepperstaird/pepperstaird/configuration/__init__.py
+++ b/packages/pepperstaird/pepperstaird/configuration/__init__.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .agent import ConfigurationAgent
-from .change_lines import WAIT_MAX_MS, ChangeLines
+from .change_queues import WAIT_MAX_MS, ChangeQueues
 from .records import VersionRecord
 
-__all__ = ["WAIT_MAX_MS", "ChangeLines", "ConfigurationAgent", "VersionRecord"]
+__all__ = ["WAIT_MAX_MS", "ChangeQueues", "ConfigurationAgent", "VersionRecord"]
--- a/packages/pepperstaird/pepperstaird/configuration/change_lines.py
+++ b/packages/pepperstaird/pepperstaird/configuration/change_queues.py
@@ -15,7 +15,7 @@
 WAIT_MAX_MS: Final = 5000
 
 
-class ChangeLines:
+class ChangeQueues:
     """Serializes the parsing and the commit of changes per customer.
 
     Changes of one customer can't be accepted concurrently anyway, as each takes
@@ -62,4 +62,4 @@
     return True
 
 
-__all__ = ["N_WAITING_MAX", "WAIT_MAX_MS", "ChangeLines"]
+__all__ = ["N_WAITING_MAX", "WAIT_MAX_MS", "ChangeQueues"]
--- a/packages/pepperstaird/pepperstaird/daemon.py
+++ b/packages/pepperstaird/pepperstaird/daemon.py
@@ -40,8 +40,8 @@
 from pepperstair_core.wire import StreamKind
 from pepperstair_core.wire.data import BODY_PART_MAX_BYTES
 from pepperstair_http import (
-    AheadLimits,
     HttpServer,
+    PipelineLimits,
     ServerLimits,
 )
 from pepperstair_operators import OperatorServer
@@ -58,7 +58,7 @@
 from .clock import boot_ms, monotonic_ms, precise_ms, wall_ms
 from .counters import read_counters, read_gauges
 from .crash_reports import CrashReports
-from .edges import Edges, FurtherServer
+from .dependencies import AdditionalServer, DaemonDependencies
 from .exposition import Exposition
 from .metrics import MetricsSender
 from .proxying import make_proxy_context
@@ -75,9 +75,9 @@
 class Daemon:
     """A daemon: all its components and the callbacks that connect them."""
 
-    def __init__(self, settings: Settings, edges: Edges) -> None:
+    def __init__(self, settings: Settings, dependencies: DaemonDependencies) -> None:
         self.settings = settings
-        self.edges = edges
+        self.dependencies = dependencies
         self.is_stopping = False
         self.stop_deadline_ms = math.inf
         self.started_ms = precise_ms()
@@ -116,7 +116,7 @@
                 link_mbps=settings.peers.link_mbps,
             )
         )
-        self.platform = edges.make_platform(settings)
+        self.platform = dependencies.make_platform(settings)
         self.quarantine = Quarantine()
         self.registry = TargetRegistry(settings.members.target_lease_ms)
         self.runner = TargetRunner(
@@ -124,7 +124,7 @@
             precise_ms,
             self._policy_of,
             self.decisions,
-            edges.target_options,
+            dependencies.target_options,
             self.quarantine,
         )
         self.chooser = TargetChooser(
@@ -163,15 +163,15 @@
             self.control,
             self.quarantine,
             QuarantineRows(
-                edges.make_row_table(self), wall_ms, settings.vm.is_first_start
+                dependencies.make_row_table(self), wall_ms, settings.vm.is_first_start
             ),
             self.decisions,
             precise_ms,
         )
         self.runner.on_crash = self.crash_reports.report_crash
         self.runner.on_cleared = self.crash_reports.report_cleared
-        self.configuration = edges.make_configuration(self)
-        self.member_table = edges.make_member_table(self)
+        self.configuration = dependencies.make_configuration(self)
+        self.member_table = dependencies.make_member_table(self)
         self.listener = PeerListener(
             self.identity,
             settings.peers.frame_max_bytes,
@@ -192,7 +192,7 @@
                 settings.callers.n_connections_max,
                 settings.callers.header_max_bytes,
                 settings.callers.idle_timeout_ms,
-                ahead=AheadLimits(
+                ahead=PipelineLimits(
                     settings.callers.n_requests_ahead_max,
                     settings.callers.ahead_request_max_bytes,
                     settings.callers.ahead_answer_max_bytes,
@@ -201,10 +201,10 @@
             self.proxy.is_repeatable,
         )
         operators = OperatorServer(settings.operators)
-        edges.add_operations(operators, self)
+        dependencies.add_operations(operators, self)
         self.operators = HttpServer(operators.handle, ServerLimits())
         self.additional_servers = (
-            *edges.iter_servers(self),
+            *dependencies.iter_servers(self),
             *self._iter_metrics_server(),
         )
         self.endpoint_table = EndpointTable()
@@ -216,7 +216,7 @@
         self._settings_task: asyncio.Task[None] | None = None
 
     @property
-    def ready_by(self) -> str:
+    def readiness_source(self) -> str:
         """Return how the daemon became ready, or an empty string."""
         return self.configuration.reached_by
 
@@ -226,7 +226,7 @@
         return self.configuration.is_floor_known
 
     @property
-    def is_welcoming(self) -> bool:
+    def is_accepting_callers(self) -> bool:
         """Return whether callers should continue to use this daemon."""
         return self.is_ready() and not self.is_stopping
 
@@ -284,8 +284,8 @@
         self.metrics.start()
         loop = asyncio.get_running_loop()
         self._lease_task = loop.create_task(self._check_leases())
-        if self.edges.follow_settings is not None:
-            following = self.edges.follow_settings(self)
+        if self.dependencies.follow_settings is not None:
+            following = self.dependencies.follow_settings(self)
             self._settings_task = loop.create_task(following)
         log.info(Event.STARTED, peer_address=self.identity.peer_address)
 
@@ -314,11 +314,11 @@
             additional.server.close()
         self.platform.close()
 
-    def _iter_metrics_server(self) -> Iterator[FurtherServer]:
+    def _iter_metrics_server(self) -> Iterator[AdditionalServer]:
         address = self.settings.metrics.prometheus_address
         if address:
             server = HttpServer(self.exposition.handle, ServerLimits())
-            yield FurtherServer(server, address)
+            yield AdditionalServer(server, address)
 
     def _record_convergence(self, customer: str, convergence_ms: int) -> None:
         self.burn.add_convergence(customer, monotonic_ms(), convergence_ms)
--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -64,7 +64,7 @@
         """Start to read the row of an earlier process."""
         self._start_restore()
 
-    async def restored(self) -> None:
+    async def wait_restored(self) -> None:
         """Wait until the row was read, for up to `WAIT_MAX_S`.
 
         During an outage of the platform the row is unavailable. Serving its target
--- a/packages/pepperstaird/pepperstaird/edges.py
+++ b/packages/pepperstaird/pepperstaird/dependencies.py
@@ -25,7 +25,7 @@
     from .daemon import Daemon
 
 
-class PlatformEdge(Protocol):
+class PlatformClient(Protocol):
     """The part of the platform's client that every daemon needs."""
 
     counters: PlatformCounters
@@ -82,29 +82,31 @@
         """Delete the own entry, as this daemon leaves."""
 
 
-class FurtherServer(Struct, frozen=True):
+class AdditionalServer(Struct, frozen=True):
     """An additional server of the daemon and the address that it listens on."""
 
     server: HttpServer
     address: str
 
 
-class Edges(Struct, frozen=True):
+class DaemonDependencies(Struct, frozen=True):
     """The factories and options that adapt a daemon to its deployment.
 
-    `make_budget_of` returns a function from the name of a service to its retry
+    `make_budget_lookup` returns a function from the name of a service to its retry
     budget, `iter_servers` yields additional servers, and `reload` is called on
     SIGHUP. `follow_settings` runs as long as the daemon, if given. `service` is that
     of the VM's own target; it accompanies requests that are passed on.
     """
 
-    make_platform: Callable[[Settings], PlatformEdge]
+    make_platform: Callable[[Settings], PlatformClient]
     make_configuration: Callable[[Daemon], Configuration]
     make_member_table: Callable[[Daemon], MemberTable]
     add_operations: Callable[[OperatorServer, Daemon], None]
-    make_budget_of: Callable[[Daemon], Callable[[str], RetryBudget]]
+    make_budget_lookup: Callable[[Daemon], Callable[[str], RetryBudget]]
     make_row_table: Callable[[Daemon], RowTable]
-    iter_servers: Callable[[Daemon], Iterator[FurtherServer]] = lambda daemon: iter(())
+    iter_servers: Callable[[Daemon], Iterator[AdditionalServer]] = lambda daemon: iter(
+        ()
+    )
     reload: Callable[[Daemon], None] = lambda daemon: None
     follow_settings: Callable[[Daemon], Coroutine[Any, Any, None]] | None = None
     target_options: TargetOptions = TargetOptions()
@@ -113,8 +115,8 @@
 
 __all__ = [
     "Configuration",
-    "Edges",
-    "FurtherServer",
+    "DaemonDependencies",
+    "AdditionalServer",
     "MemberTable",
-    "PlatformEdge",
+    "PlatformClient",
 ]
--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -28,7 +28,7 @@
 log = structlog.get_logger(__name__)
 
 # Time after which a pull that was not answered is sent to another neighbour.
-_PULL_AGAIN_S: Final = 0.75
+_PULL_RETRY_S: Final = 0.75
 # How long a pull is delayed while the own watch may deliver the version that a
 # neighbour already has: immediate pulls would transfer each version to every daemon
 # once more.
@@ -293,7 +293,7 @@
         loop = asyncio.get_running_loop()
         delay_s = _PULL_DELAY_S if self._is_watching() else 0.0
         if self._pull_base_version == self._following.version:
-            delay_s = max(delay_s, self._pulled_s + _PULL_AGAIN_S - loop.time())
+            delay_s = max(delay_s, self._pulled_s + _PULL_RETRY_S - loop.time())
         self._pull_timer = loop.call_later(delay_s, self._pull)
 
     def _pull(self) -> None:
@@ -311,7 +311,7 @@
         self._pulled_vm = vm
         self._pull_base_version, self._pulled_s = version, loop.time()
         self._control.send(vm, DocumentPull(version))
-        self._pull_timer = loop.call_later(_PULL_AGAIN_S, self._pull)
+        self._pull_timer = loop.call_later(_PULL_RETRY_S, self._pull)
 
 
 __all__ = ["DocumentExchange"]
--- a/packages/pepperstaird/pepperstaird/follower.py
+++ b/packages/pepperstaird/pepperstaird/follower.py
@@ -51,18 +51,18 @@
 _BACKOFF_MAX_S: Final = 1.0
 # Pause after each answer: of versions in quick succession only the newest matters,
 # and each read of each daemon adds load to the store.
-_SETTLE_S: Final = 0.4
+_PAUSE_MIN_S: Final = 0.4
 # On a slow link the pause is twice the transfer time of the answer, so that versions
 # in quick succession leave two thirds of the link to calls. Meanwhile neighbours send
 # them in compressed form. The pause is bounded, as a neighbour may be cut off.
 _PAUSE_TRANSFER_FACTOR: Final = 2.0
-_SETTLE_MAX_S: Final = 1.5
+_PAUSE_MAX_S: Final = 1.5
 # If the transfer of the document takes longer than this on the VM's link, the daemon
 # does not watch continuously: it polls occasionally and otherwise relies on the
 # compressed copies of its neighbours. A watch would transfer the whole document with
 # each version and delay all calls.
 _WATCHED_TRANSFER_MAX_S: Final = 0.2
-_LOOK_STEP_S: Final = 0.5
+_WATCH_CHECK_INTERVAL_S: Final = 0.5
 _EXPIRED: Final = ErrorKind.WATCH_EXPIRED
 _REJECTIONS: Final = (OfferResult.REJECTED, OfferResult.REJECTED_BEFORE)
 
@@ -72,11 +72,11 @@
 
     `key` names the row of the table that holds the document. `on_document` is
     called after each version that was put in force; `document` is then that version.
-    `carry_s` returns the seconds that the VM's link takes to transfer a number of
-    bytes of a document. `is_source` returns whether this daemon has to watch the
+    `transfer_s` returns the seconds that the VM's link takes to transfer a number of
+    bytes of a document. `must_watch` returns whether this daemon has to watch the
     table regardless of its link, as others or the daemon itself may depend on that.
-    With a `schedule` the fleet shares its reads; `place` then returns this daemon's
-    rank in the order of readers. Without one, each daemon watches the table.
+    With a `schedule` the fleet shares its reads; `reader_rank` then returns this
+    daemon's rank in the order of readers. Without one, each daemon watches the table.
     """
 
     def __init__(
@@ -89,15 +89,15 @@
         decisions: DecisionLog,
         rng: random.Random,
         on_document: Callable[[], None] = lambda: None,
-        carry_s: Callable[[int], float] = lambda n_bytes: 0.0,
-        is_source: Callable[[], bool] = lambda: True,
+        transfer_s: Callable[[int], float] = lambda n_bytes: 0.0,
+        must_watch: Callable[[], bool] = lambda: True,
         schedule: ReadSchedule | None = None,
-        place: Callable[[], int] = lambda: 0,
+        reader_rank: Callable[[], int] = lambda: 0,
     ) -> None:
-        self._carry_s = carry_s
-        self._is_source = is_source
+        self._transfer_s = transfer_s
+        self._must_watch = must_watch
         self.schedule = schedule
-        self._place = place
+        self._reader_rank = reader_rank
         self._on_document = on_document
         self._table = table
         self._key = key
@@ -222,7 +222,7 @@
         """Return the longest pause between reads while the table can't be read."""
         if self.schedule is None or not self.document:
             return _BACKOFF_MAX_S
-        return _BACKOFF_MAX_S * self.schedule.backoff_factor(self._place())
+        return _BACKOFF_MAX_S * self.schedule.backoff_factor(self._reader_rank())
 
     async def _until_due(self) -> None:
         """Wait until this daemon is due to read, if the fleet shares its reads."""
@@ -230,7 +230,7 @@
             return
         while self._control.neighbours or not self.schedule.is_confirmed:
             now_ms = boot_ms()
-            remaining_ms = self.schedule.due_ms(self._place(), now_ms) - now_ms
+            remaining_ms = self.schedule.due_ms(self._reader_rank(), now_ms) - now_ms
             if remaining_ms <= 0.0:
                 return
             await asyncio.sleep(remaining_ms / 1000)
@@ -241,7 +241,7 @@
             return False
         if self.schedule is None:
             return True
-        return self.schedule.is_watcher(self._place(), boot_ms())
+        return self.schedule.is_watcher(self._reader_rank(), boot_ms())
 
     async def _read_or_watch(
         self, position: int | None, is_first: bool
@@ -261,12 +261,12 @@
         self, position: int
     ) -> Result[WatchedRows, Failure]:
         """Watch the table if this daemon is a watcher or alone, else poll it once."""
-        place = self._place()
+        reader_rank = self._reader_rank()
         is_alone = not self._control.neighbours
         wait_ms = 0
         now_ms = boot_ms()
-        if is_alone or self.schedule.is_watcher(place, now_ms):
-            wait_ms = self.schedule.watch_ms(place, now_ms)
+        if is_alone or self.schedule.is_watcher(reader_rank, now_ms):
+            wait_ms = self.schedule.watch_ms(reader_rank, now_ms)
         return await self._table.wait(position, wait_ms)
 
     def _watches_continuously(self) -> bool:
@@ -275,9 +275,9 @@
         Daemons on fast links do, and so does one of each availability zone. As all
         others poll at different moments, the fleet detects a version immediately.
         """
-        if self.document is None or self._is_source():
+        if self.document is None or self._must_watch():
             return True
-        return self._carry_s(len(self.document.data)) <= _WATCHED_TRANSFER_MAX_S
+        return self._transfer_s(len(self.document.data)) <= _WATCHED_TRANSFER_MAX_S
 
     async def _pause_unless_watching(self, pause_ms: int) -> int:
         """Pause, and return the duration of the next watch in ms, 0 for a poll.
@@ -287,7 +287,7 @@
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + pause_ms / 1000
         while loop.time() < ends_s:
-            await asyncio.sleep(min(_LOOK_STEP_S, pause_ms / 1000))
+            await asyncio.sleep(min(_WATCH_CHECK_INTERVAL_S, pause_ms / 1000))
             if self._watches_continuously():
                 return pause_ms
         return 0
@@ -295,8 +295,8 @@
     def _pause_after_answer_s(self, rows: WatchedRows) -> float:
         """Return the pause before the next read after an answer, in seconds."""
         n_bytes = sum(len(row.value or b"") for row in rows.rows)
-        transfer_pause_s = _PAUSE_TRANSFER_FACTOR * self._carry_s(n_bytes)
-        return max(_SETTLE_S, min(_SETTLE_MAX_S, transfer_pause_s))
+        transfer_pause_s = _PAUSE_TRANSFER_FACTOR * self._transfer_s(n_bytes)
+        return max(_PAUSE_MIN_S, min(_PAUSE_MAX_S, transfer_pause_s))
 
     def _log_table_state(self, failure: Failure | None) -> None:
         """Log the start and the end of an outage of the table, once each."""
--- a/packages/pepperstaird/pepperstaird/light_imports.py
+++ b/packages/pepperstaird/pepperstaird/light_imports.py
@@ -1,7 +1,7 @@
 """Blocks the import of unused libraries, to save their memory in the daemon.
 
-`leave_out` has to be called before anything imports them. structlog imports rich for
-coloured tracebacks if it is installed, as it is in an environment shared with the
+`block_imports` has to be called before anything imports them. structlog imports rich
+for coloured tracebacks if it is installed, as it is in an environment shared with the
 operators' command line; asyncio imports ssl; hashlib imports the OpenSSL
 implementations of hashes that are also built in. The daemon writes JSON logs and uses
 plain TCP, so it needs none of them. Each importer has a fallback for a failed import.
@@ -16,7 +16,7 @@
 BLOCKED_MODULES: Final = ("rich", "ssl", "_hashlib")
 
 
-def leave_out() -> None:
+def block_imports() -> None:
     """Make imports of the blocked modules fail, unless they are already imported."""
     for name in BLOCKED_MODULES:
         sys.modules.setdefault(name, None)
@@ -32,4 +32,4 @@
             del sys.modules[name]
 
 
-__all__ = ["BLOCKED_MODULES", "unblock_imports", "leave_out"]
+__all__ = ["BLOCKED_MODULES", "unblock_imports", "block_imports"]
--- a/packages/pepperstaird/pepperstaird/member_rows.py
+++ b/packages/pepperstaird/pepperstaird/member_rows.py
@@ -33,7 +33,7 @@
 # Interval at which the own row is written again, as a sign that the daemon is alive.
 ROW_INTERVAL_S: Final = 300.0
 _PREFIX: Final = "member/"
-_JOIN_MAX_S: Final = 2.0
+_FIRST_WRITE_DELAY_MAX_S: Final = 2.0
 # While the own row is not written, or no neighbour is known, the platform is queried
 # again with exponential backoff, so that an outage causes no storm of retries.
 _RETRY_MIN_S: Final = 0.5
@@ -59,7 +59,9 @@
         self._is_first_start = is_first_start
         self._is_written = False
         self._first_write_delay_max_s = (
-            _JOIN_MAX_S if first_write_delay_max_s is None else first_write_delay_max_s
+            _FIRST_WRITE_DELAY_MAX_S
+            if first_write_delay_max_s is None
+            else first_write_delay_max_s
         )
         self._platform = platform
         self._control = control
--- a/packages/pepperstaird/pepperstaird/metrics.py
+++ b/packages/pepperstaird/pepperstaird/metrics.py
@@ -17,7 +17,7 @@
 from pepperstair_core.intent import PRIORITIES
 
 from .counters import FRAME_COUNTS, DaemonCounters, DaemonGauges, iter_docs
-from .timings import PERCENTILES, Timings
+from .timings import PERCENTILES, DurationHistogram
 
 log = structlog.get_logger(__name__)
 
@@ -94,7 +94,7 @@
         vm_part = vm.replace(".", "_").replace("/", "_")
         self._buffer = LineBuffer(f"{_PREFIX}.{vm_part}")
         self._sent_counts: dict[str, int] = {}
-        self._histograms = {priority: Timings() for priority in PRIORITIES}
+        self._histograms = {priority: DurationHistogram() for priority in PRIORITIES}
         self._socket: socket.socket | None = None
         self._task: asyncio.Task[None] | None = None
         self.n_sent = 0
--- a/packages/pepperstaird/pepperstaird/operations.py
+++ b/packages/pepperstaird/pepperstaird/operations.py
@@ -23,7 +23,7 @@
 from pepperstair_targets import handle_announcement
 
 from .clock import monotonic_ms, wall_ms
-from .configuration import WAIT_MAX_MS, ChangeLines
+from .configuration import WAIT_MAX_MS, ChangeQueues
 from .reports import add_reports, record_refusal
 
 if TYPE_CHECKING:
@@ -35,11 +35,11 @@
 def add_operations(server: OperatorServer, daemon: Daemon) -> None:
     """Register the reports, changes of intents and announcements of targets."""
     add_reports(server, daemon)
-    change_lines = ChangeLines()
+    change_queues = ChangeQueues()
 
     async def put_intent(request: OperatorRequest) -> OperatorReply:
-        async with change_lines.turn(request.name) as is_turn:
-            if is_turn:
+        async with change_queues.turn(request.name) as is_acquired:
+            if is_acquired:
                 return await _put_intent(daemon, request)
         detail = f"earlier changes of {request.name} are still queued"
         return failure_reply(Failure(ErrorKind.BUSY, detail, WAIT_MAX_MS))
--- a/packages/pepperstaird/pepperstaird/product.py
+++ b/packages/pepperstaird/pepperstaird/product.py
@@ -10,7 +10,7 @@
 
 from .configuration import ConfigurationAgent
 from .configuration_operations import add_configuration_operations
-from .edges import Edges
+from .dependencies import DaemonDependencies
 from .member_rows import MemberRows
 from .operations import add_operations
 
@@ -20,16 +20,16 @@
     from .daemon import Daemon
 
 
-def product_edges() -> Edges:
+def product_dependencies() -> DaemonDependencies:
     """Return the factories for a daemon with pepperstair's own settings file."""
-    return Edges(
+    return DaemonDependencies(
         make_platform=lambda settings: Platform(settings.platform),
         make_configuration=_make_configuration,
         make_member_table=lambda daemon: MemberRows(
             daemon.platform, daemon.control, daemon.directory, daemon.rng
         ),
         add_operations=_add_operations,
-        make_budget_of=_make_budget_lookup,
+        make_budget_lookup=_make_budget_lookup,
         make_row_table=lambda daemon: daemon.platform,
     )
 
@@ -56,4 +56,4 @@
     return lambda service: budget
 
 
-__all__ = ["product_edges"]
+__all__ = ["product_dependencies"]
--- a/packages/pepperstaird/pepperstaird/proxying.py
+++ b/packages/pepperstaird/pepperstaird/proxying.py
@@ -63,14 +63,14 @@
         is_draining=lambda: daemon.runner.is_draining,
         time_to_stop_ms=lambda: daemon.stop_deadline_ms - precise_ms(),
         decisions=daemon.decisions,
-        budget_of=daemon.edges.make_budget_of(daemon),
+        budget_of=daemon.dependencies.make_budget_lookup(daemon),
         retry_budget_percent=daemon.settings.calls.retry_budget_percent,
         now_ms=precise_ms,
         rng=daemon.rng,
         quarantine=daemon.quarantine,
         body_max_bytes=lambda: daemon.body_max_bytes,
-        header_names=daemon.edges.target_options.names,
-        service=daemon.edges.service,
+        header_names=daemon.dependencies.target_options.names,
+        service=daemon.dependencies.service,
     )
 
 
--- a/packages/pepperstaird/pepperstaird/reports.py
+++ b/packages/pepperstaird/pepperstaird/reports.py
@@ -36,7 +36,7 @@
 
     async def ready(request: OperatorRequest) -> OperatorReply:
         is_ready = daemon.is_ready()
-        content = {"ready": is_ready, "reached_by": daemon.ready_by}
+        content = {"ready": is_ready, "reached_by": daemon.readiness_source}
         return json_reply(content, 200 if is_ready else 503)
 
     async def get_intent(request: OperatorRequest) -> OperatorReply:
@@ -61,7 +61,7 @@
         "vm": daemon.settings.vm.name,
         "availability_zone": daemon.settings.vm.availability_zone,
         "ready": daemon.is_ready(),
-        "reached_by": daemon.ready_by,
+        "reached_by": daemon.readiness_source,
         "versions": daemon.configuration.versions(),
         "members": [
             {
@@ -82,7 +82,7 @@
     }
 
 
-def add_decisions(server: OperatorServer, daemon: Daemon) -> None:
+def add_explain_operation(server: OperatorServer, daemon: Daemon) -> None:
     """Register `explain` for a daemon that explains decisions only.
 
     It has no configuration of its own to explain.
@@ -140,7 +140,7 @@
 
 
 __all__ = [
-    "add_decisions",
+    "add_explain_operation",
     "add_reports",
     "burn_reply",
     "explain_decisions",
--- a/packages/pepperstaird/pepperstaird/running.py
+++ b/packages/pepperstaird/pepperstaird/running.py
@@ -13,7 +13,7 @@
 from pepperstair_core.events import Event
 
 from .daemon import Daemon
-from .edges import Edges
+from .dependencies import DaemonDependencies
 from .logs import configure_logs, log_loop_error
 
 log = structlog.get_logger(__name__)
@@ -24,26 +24,30 @@
 
 
 def run_daemon(
-    settings: Settings, edges: Edges, callers_socket: socket.socket | None = None
+    settings: Settings,
+    dependencies: DaemonDependencies,
+    callers_socket: socket.socket | None = None,
 ) -> int:
     """Run a daemon until SIGTERM or SIGINT and return its exit code.
 
     `callers_socket` is the listening socket for callers if it is already open.
     """
     configure_logs(settings.vm.name)
-    return asyncio.run(_run_until_signal(settings, edges, callers_socket))
+    return asyncio.run(_run_until_signal(settings, dependencies, callers_socket))
 
 
 async def _run_until_signal(
-    settings: Settings, edges: Edges, callers_socket: socket.socket | None
+    settings: Settings,
+    dependencies: DaemonDependencies,
+    callers_socket: socket.socket | None,
 ) -> int:
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(log_loop_error)
     stop_requested = asyncio.Event()
     for signal_number in _STOP_SIGNALS:
         loop.add_signal_handler(signal_number, stop_requested.set)
-    daemon = Daemon(settings, edges)
-    loop.add_signal_handler(signal.SIGHUP, lambda: edges.reload(daemon))
+    daemon = Daemon(settings, dependencies)
+    loop.add_signal_handler(signal.SIGHUP, lambda: dependencies.reload(daemon))
     try:
         await daemon.start(callers_socket)
     except OSError as error:
--- a/packages/pepperstaird/pepperstaird/timings.py
+++ b/packages/pepperstaird/pepperstaird/timings.py
@@ -16,10 +16,10 @@
 _LOG_GROWTH: Final = math.log(_GROWTH)
 
 
-class Timings:
+class DurationHistogram:
     """Histogram with bucket bounds growing by a tenth, so percentiles are that exact.
 
-    >>> histogram = Timings()
+    >>> histogram = DurationHistogram()
     >>> for _ in range(100):
     ...     histogram.add(2.0)
     >>> [percentile for percentile, _ in histogram.pop_percentiles()]
@@ -66,4 +66,4 @@
     return _MIN_BOUND_MS * _GROWTH ** (_N_BUCKETS - 1)
 
 
-__all__ = ["PERCENTILES", "Timings"]
+__all__ = ["PERCENTILES", "DurationHistogram"]
--- a/tests/adapter/mesh.py
+++ b/tests/adapter/mesh.py
@@ -21,7 +21,7 @@
     header_value,
 )
 from tests.adapter.store_stand_in import StoreStandIn
-from tests.adapter.test_settings import BOUNDS, filled
+from tests.adapter.test_settings import BOUNDS, render_settings
 
 # How long an instance runs a poison request before it crashes.
 CRASH_DELAY_S = 0.03
@@ -56,7 +56,7 @@
         names = ("outbound", "ready", "control_plane")
         for name in (*names, "peers", "operators", "metrics"):
             self.ports.setdefault(name, free_port())
-        return filled(
+        return render_settings(
             self.bounds,
             node=self.name,
             service=self.service,
@@ -196,14 +196,14 @@
         await vm.serve()
         self.vms.append(vm)
         vm.start_daemon()
-        await until(lambda: self._announce(vm), f"{name} accepts heartbeats")
+        await wait_until(lambda: self._announce(vm), f"{name} accepts heartbeats")
         return vm
 
     async def wait_until_ready(self) -> None:
         """Wait until every daemon is ready and has discovered every instance."""
         for vm in self.vms:
-            await until(lambda vm=vm: is_ready(vm), f"{vm.name} is ready")
-            await until(
+            await wait_until(lambda vm=vm: is_ready(vm), f"{vm.name} is ready")
+            await wait_until(
                 lambda vm=vm: self._knows_all(vm), f"{vm.name} knows all instances"
             )
 
@@ -227,7 +227,7 @@
         self.store.close()
 
 
-async def until(condition, what: str) -> None:
+async def wait_until(condition, what: str) -> None:
     """Wait for a condition, or raise a TimeoutError that names it after 20 s."""
     deadline_s = asyncio.get_running_loop().time() + 20
     while not await condition():
@@ -260,4 +260,4 @@
     return run
 
 
-__all__ = ["Mesh", "Vm", "is_ready", "until", "with_mesh"]
+__all__ = ["Mesh", "Vm", "is_ready", "wait_until", "with_mesh"]
--- a/tests/adapter/test_crashed_instance.py
+++ b/tests/adapter/test_crashed_instance.py
@@ -6,7 +6,7 @@
 import json
 
 from tests.adapter.documents import document, rule
-from tests.adapter.mesh import until, with_mesh
+from tests.adapter.mesh import wait_until, with_mesh
 
 POISON = "/logs/poison"
 # Half of the lease of an instance's last announcement.
@@ -25,7 +25,7 @@
     await mesh.wait_until_ready()
     crashed_vm.poison_path = POISON
     crashed_vm.restart_s = 30.0
-    await until(lambda: _has_crashed(crashed_vm), "the instance has crashed")
+    await wait_until(lambda: _has_crashed(crashed_vm), "the instance has crashed")
 
     async def is_withdrawn() -> bool:
         _, _, body = await caller.fetch("operators", "GET", "/v1/status")
@@ -33,7 +33,7 @@
         return not any(each["targets"] for each in members if each["vm"] == "vm-1")
 
     async with asyncio.timeout(HALF_LEASE_S):
-        await until(is_withdrawn, "the caller's daemon knows no instance on vm-1")
+        await wait_until(is_withdrawn, "the caller's daemon knows no instance on vm-1")
     calls = [caller.call(f"/logs/{index}", f"r{index}") for index in range(20)]
     assert await asyncio.gather(*calls) == [(200, b"vm-2")] * 20
     assert len(other.received_headers) >= 20
--- a/tests/adapter/test_poison_request.py
+++ b/tests/adapter/test_poison_request.py
@@ -6,7 +6,7 @@
 import itertools
 
 from tests.adapter.documents import document
-from tests.adapter.mesh import is_ready, until, with_mesh
+from tests.adapter.mesh import is_ready, wait_until, with_mesh
 
 POISON = "/logs/poison"
 N_VMS = 5
@@ -62,7 +62,7 @@
     async def is_written() -> bool:
         return bool(keys())
 
-    await until(is_written, "the quarantine row is written")
+    await wait_until(is_written, "the quarantine row is written")
     (key,) = keys()
     return key
 
@@ -92,7 +92,7 @@
     for vm in vms:
         vm.start_daemon()
     for vm in vms:
-        await until(lambda vm=vm: is_ready(vm), f"{vm.name} is ready")
+        await wait_until(lambda vm=vm: is_ready(vm), f"{vm.name} is ready")
         await vm.heartbeat()
     await send_mixed_calls(vms, N_ROUNDS // 2, "b")
     assert n_poison_runs(vms) == n_runs_before
@@ -101,7 +101,7 @@
 
 
 @with_mesh
-async def test_daemon_cut_off_from_the_others_learns_from_the_platform(mesh):
+async def test_partitioned_daemon_reads_the_quarantine_from_the_platform(mesh):
     """Guards against one more round of crashes on each side of a partition."""
     first = await start_fleet(mesh)
     await send_mixed_calls(first, N_ROUNDS // 2, "a")
@@ -113,7 +113,7 @@
     alone = await mesh.add("alone", "ledger")
     alone.poison_path = POISON
     mesh.store.rows["members", key] = quarantine_row
-    await until(lambda: is_ready(alone), "the daemon is ready")
+    await wait_until(lambda: is_ready(alone), "the daemon is ready")
     assert (await alone.call("/logs/1"))[0] == 200
     await send_mixed_calls([alone], N_ROUNDS // 2, "b")
     assert alone.n_poison_runs == 1
--- a/tests/adapter/test_process_platform.py
+++ b/tests/adapter/test_process_platform.py
@@ -9,7 +9,7 @@
 
 from pepperstair_http import header_value
 from tests.adapter.documents import document, rule
-from tests.adapter.mesh import is_ready, until, with_mesh
+from tests.adapter.mesh import is_ready, wait_until, with_mesh
 
 LONG_WORK_S = 1.0
 
@@ -30,7 +30,7 @@
     async def is_written() -> bool:
         return mesh.store.keys("members") == ["member/vm-1", "member/vm-2"]
 
-    await until(is_written, "the rows of both daemons are written")
+    await wait_until(is_written, "the rows of both daemons are written")
     status, _, metrics = await caller.fetch("metrics", "GET", "/metrics")
     assert status == 200 and b"pepperstair_calls_total" in metrics
 
@@ -49,7 +49,7 @@
         bodies = [(await vm.call())[1] for vm in (caller, other)]
         return bodies == [b"vm-2", b"vm-2"]
 
-    await until(is_in_force, "both daemons route by the new version")
+    await wait_until(is_in_force, "both daemons route by the new version")
     mesh.store.put("op", "config", document(12)[:-7])
     await asyncio.sleep(0.6)
     assert (await caller.call())[1] == b"vm-2"
@@ -82,7 +82,7 @@
     first.process.kill()
     first.process.wait()
     first.start_daemon()
-    await until(lambda: is_ready(first), "ready without the store")
+    await wait_until(lambda: is_ready(first), "ready without the store")
     assert (await first.call())[0] == 200
 
 
@@ -101,7 +101,7 @@
 
 
 @with_mesh
-async def test_acknowledged_deregistration_outlives_the_daemon(mesh):
+async def test_acknowledged_deregistration_survives_a_daemon_restart(mesh):
     """A daemon is killed after it has acknowledged that its instance deregisters.
 
     A delayed heartbeat of the instance then reaches the restarted daemon. If it were
@@ -120,8 +120,8 @@
     async def is_acknowledged() -> bool:
         return await leaving.heartbeat() == 200
 
-    await until(is_acknowledged, "the new process accepts heartbeats")
-    await until(lambda: is_ready(leaving), "the new process is ready")
+    await wait_until(is_acknowledged, "the new process accepts heartbeats")
+    await wait_until(lambda: is_ready(leaving), "the new process is ready")
     n_received_before = len(leaving.received_headers)
     answers = [await leaving.call(request_id=f"r{index}") for index in range(20)]
     assert {body for status, body in answers if status == 200} <= {b"vm-2"}
@@ -162,7 +162,9 @@
 
 
 @pytest.mark.parametrize("on_side", ["caller", "instance"])
-def test_stop_lasts_as_long_as_a_long_call_where_the_grace_allows_it(tmp_path, on_side):
+def test_stopping_daemon_waits_for_a_long_call_within_the_grace_period(
+    tmp_path, on_side
+):
     """Guards against a daemon that abandons a call while its target runs it."""
 
     async def scenario(mesh):
@@ -185,7 +187,7 @@
 
 
 @with_mesh
-async def test_stopped_daemon_answers_what_it_can_not_finish(mesh):
+async def test_stopping_daemon_answers_calls_that_it_can_not_finish(mesh):
     """The platform stops a daemon while an instance runs a long request.
 
     A closed connection would not tell the caller whether it may retry the request.
@@ -204,7 +206,7 @@
 
 
 @with_mesh
-async def test_signals_that_come_until_the_end_do_not_change_how_it_ends(mesh):
+async def test_signals_until_the_exit_do_not_change_the_exit_status(mesh):
     """The platform stops a daemon and sends further signals until it has exited.
 
     The event loop does not handle signals that arrive between its own end and that of
--- a/tests/adapter/test_reloading.py
+++ b/tests/adapter/test_reloading.py
@@ -9,8 +9,8 @@
 from pepperstair_adapter.settings import parse_all_settings
 from pepperstair_core.calls import BudgetTerms, FleetRetryBudget
 from tests.adapter.documents import document
-from tests.adapter.mesh import until, with_mesh
-from tests.adapter.test_settings import filled
+from tests.adapter.mesh import wait_until, with_mesh
+from tests.adapter.test_settings import render_settings
 
 MORE_RETRIES = "retry_budget_ratio = 0.5\nbudget_min_retries = 90\n"
 
@@ -18,8 +18,8 @@
 def settings_file(tmp_path) -> SettingsFile:
     """Return a `SettingsFile` with the settings of the first start."""
     path = tmp_path / "settings.toml"
-    path.write_text(filled())
-    return SettingsFile(path, parse_all_settings(filled()).unwrap())
+    path.write_text(render_settings())
+    return SettingsFile(path, parse_all_settings(render_settings()).unwrap())
 
 
 def test_reload_applies_changed_bounds_together_with_a_changed_address(tmp_path):
@@ -27,7 +27,7 @@
     file = settings_file(tmp_path)
     applied = []
     file.apply = applied.append
-    text = filled(MORE_RETRIES, ip="10.1.0.39")
+    text = render_settings(MORE_RETRIES, ip="10.1.0.39")
     (tmp_path / "settings.toml").write_text(text)
     file.reload()
     assert applied == [parse_all_settings(text).unwrap()]
@@ -39,7 +39,7 @@
     file = settings_file(tmp_path)
     last_settings = file.settings
     path = tmp_path / "settings.toml"
-    path.write_text(filled()[:200])
+    path.write_text(render_settings()[:200])
     file.reload()
     assert file.settings is last_settings
     path.unlink()
@@ -55,7 +55,7 @@
     async def scenario() -> None:
         watch_task = asyncio.create_task(file.follow())
         new = tmp_path / "new.toml"
-        new.write_text(filled(MORE_RETRIES))
+        new.write_text(render_settings(MORE_RETRIES))
         new.replace(tmp_path / "settings.toml")
         async with asyncio.timeout(10):
             while file.settings.adapter.bounds.n_retries_min != 90:
@@ -88,5 +88,5 @@
     async def is_reloaded() -> bool:
         return "reloaded" in (mesh.folder / "vm-1.log").read_text()
 
-    await until(is_reloaded, "the changed settings are reloaded")
+    await wait_until(is_reloaded, "the changed settings are reloaded")
     assert await vm.call() == (200, b"vm-1")
--- a/tests/adapter/test_settings.py
+++ b/tests/adapter/test_settings.py
@@ -30,7 +30,7 @@
 BOUNDS = "retry_budget_ratio = 0.3\nbudget_min_retries = 9\nnew_bound = true\n"
 
 
-def filled(bounds: str = BOUNDS, **changes: str) -> str:
+def render_settings(bounds: str = BOUNDS, **changes: str) -> str:
     """Return the template as the platform would render it."""
     fields = {**FIELDS, **changes}
     text = re.sub(
@@ -40,7 +40,7 @@
 
 
 def test_template_gives_settings_of_product_and_adapter():
-    settings = parse_all_settings(filled()).unwrap()
+    settings = parse_all_settings(render_settings()).unwrap()
     assert settings.product.vm.name == "sidecar-a-1"
     assert settings.product.members.target_lease_ms == 4 * 1500
     assert settings.adapter.target_address == "10.1.0.38:8145"
@@ -51,7 +51,7 @@
 
 
 def test_notice_and_drain_end_before_the_process_is_killed():
-    settings = parse_all_settings(filled()).unwrap()
+    settings = parse_all_settings(render_settings()).unwrap()
     calls = settings.product.calls
     grace_ms = settings.adapter.bounds.grace_ms
     assert calls.stop_notice_ms + calls.drain_timeout_ms <= grace_ms - 500
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("grace_s", [6, 10, 30])
 def test_drain_timeout_uses_the_grace_period_of_the_platform(grace_s):
     """Guards against a daemon that answers a call while its target still runs it."""
-    settings = parse_all_settings(filled(f"grace_s = {grace_s}\n")).unwrap()
+    settings = parse_all_settings(render_settings(f"grace_s = {grace_s}\n")).unwrap()
     calls = settings.product.calls
     stop_ms = calls.stop_notice_ms + calls.drain_timeout_ms
     # Calls that run into the last sixth of the grace period may be cut off.
@@ -70,11 +70,11 @@
 @pytest.mark.parametrize(
     ("text", "where"),
     [
-        (filled()[:-40] + "=", "document"),
-        (filled().replace("[adapter]", "[other]"), "other"),
-        (filled(app_addr="nowhere"), "adapter.target_address"),
-        (filled(zone='"'), "document"),
-        (filled().replace("10.1.0.38:8147", "nowhere"), "callers.address"),
+        (render_settings()[:-40] + "=", "document"),
+        (render_settings().replace("[adapter]", "[other]"), "other"),
+        (render_settings(app_addr="nowhere"), "adapter.target_address"),
+        (render_settings(zone='"'), "document"),
+        (render_settings().replace("10.1.0.38:8147", "nowhere"), "callers.address"),
     ],
 )
 def test_faulty_setting_is_reported_with_its_path(text, where):
@@ -83,7 +83,7 @@
 
 
 def test_slow_link_allows_longer_silence_of_streams():
-    fast = parse_all_settings(filled()).unwrap().product.calls
-    slow = parse_all_settings(filled(**{"limits.link_mbps": "5.0"})).unwrap()
+    fast = parse_all_settings(render_settings()).unwrap().product.calls
+    slow = parse_all_settings(render_settings(**{"limits.link_mbps": "5.0"})).unwrap()
     assert fast.stream_silence_ms == 504
     assert slow.product.calls.stream_silence_ms == 1300
--- a/tests/process_fleet.py
+++ b/tests/process_fleet.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class Told:
+class CallAnswer:
     """The answer that one caller received; status 0 if its connection was lost."""
 
     status: int
@@ -107,12 +107,12 @@
     )
 
 
-def runs_of(target: str) -> dict[str, int]:
+def run_counts(target: str) -> dict[str, int]:
     """Return how often each request id ran on a target."""
-    return asyncio.run(runs_of_async(target))
+    return asyncio.run(run_counts_async(target))
 
 
-async def runs_of_async(target: str) -> dict[str, int]:
+async def run_counts_async(target: str) -> dict[str, int]:
     """Return how often each request id ran on a target."""
     status, body = await fetch_async(target, "GET", "/stand-in/runs")
     assert status == 200
@@ -128,11 +128,11 @@
 async def wait_for_runs(targets: list[str], n_runs: int) -> None:
     """Wait until targets have together started to run a number of calls."""
     async with asyncio.timeout(20):
-        while sum([len(await runs_of_async(target)) for target in targets]) < n_runs:
+        while sum([len(await run_counts_async(target)) for target in targets]) < n_runs:
             await asyncio.sleep(0.02)
 
 
-def call(daemon: DaemonProcess, request_id: str, **more: str) -> Told:
+def call(daemon: DaemonProcess, request_id: str, **more: str) -> CallAnswer:
     """Send one award through a daemon and return the caller's answer."""
     return asyncio.run(call_async(daemon.callers, request_id, **more))
 
@@ -146,7 +146,7 @@
     timeout_ms: str = "",
     work_ms: str = "",
     give_up_ms: int = 10_000,
-) -> Told:
+) -> CallAnswer:
     """Send one award and wait for the whole answer or the loss of the connection."""
     headers = [(b"x-request-id", request_id.encode())]
     if timeout_ms:
@@ -158,10 +158,10 @@
     try:
         response = await fetcher.fetch("POST", path, sent, tuple(headers))
     except (OSError, TimeoutError, ConnectionLostError):
-        return Told(0, "unknown", "", b"")
+        return CallAnswer(0, "unknown", "", b"")
     finally:
         fetcher.close()
-    return Told(
+    return CallAnswer(
         response.status,
         header_value(response.headers, b"pepperstair-run").decode(),
         header_value(response.headers, b"pepperstair-error").decode(),
@@ -169,7 +169,7 @@
     )
 
 
-def served_by(answer: Told) -> str:
+def served_by(answer: CallAnswer) -> str:
     """Return the service whose target answered a call, or an empty string."""
     return answer.body.decode().partition("-")[0] if answer.status == 200 else ""
 
@@ -178,7 +178,7 @@
     addresses: list[str],
     targets: list[str],
     start_departure: Callable[[], Awaitable[None]],
-) -> list[Told]:
+) -> list[CallAnswer]:
     """Start slow calls, start the departure once all run, and return the answers."""
     calls = [
         asyncio.create_task(
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from benchmarks.fleet import free_port
-from tests.adapter.mesh import until
+from tests.adapter.mesh import wait_until
 from tests.adapter.store_stand_in import StoreStandIn
 
 from .callers import PAUSE_S, Caller, Place
@@ -98,7 +98,7 @@
             self.operator.write()
             for index in range(self._terms.n_vms):
                 await self._add(index, address)
-            await until(self._are_all_ready, "all daemons ready")
+            await wait_until(self._are_all_ready, "all daemons ready")
             yield
         finally:
             for task in self._tasks:
--- a/tests/test_change_lines.py
+++ b/tests/test_change_queues.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from pepperstaird.configuration import change_lines
-from pepperstaird.configuration.change_lines import N_WAITING_MAX, ChangeLines
+from pepperstaird.configuration import change_queues
+from pepperstaird.configuration.change_queues import N_WAITING_MAX, ChangeQueues
 
 
 def test_burst_of_one_customer_is_processed_one_by_one():
@@ -18,9 +18,9 @@
     most = dict(running)
     refused: list[str] = []
 
-    async def change(queues: ChangeLines, customer: str) -> None:
-        async with queues.turn(customer) as is_turn:
-            if not is_turn:
+    async def change(queues: ChangeQueues, customer: str) -> None:
+        async with queues.turn(customer) as is_acquired:
+            if not is_acquired:
                 refused.append(customer)
                 return
             running[customer] += 1
@@ -29,7 +29,7 @@
             running[customer] -= 1
 
     async def burst() -> None:
-        queues = ChangeLines()
+        queues = ChangeQueues()
         customers = ["lantern"] * 300 + ["sayaw"]
         await asyncio.gather(*[change(queues, customer) for customer in customers])
 
@@ -43,10 +43,10 @@
 
     The operator is notified in time that nothing was committed and when to retry.
     """
-    monkeypatch.setattr(change_lines, "WAIT_MAX_MS", 20)
+    monkeypatch.setattr(change_queues, "WAIT_MAX_MS", 20)
 
     async def run() -> tuple[bool, bool]:
-        queues = ChangeLines()
+        queues = ChangeQueues()
         async with queues.turn("lantern") as first, queues.turn("lantern") as second:
             pass
         async with queues.turn("lantern") as third:
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -127,7 +127,7 @@
 
 
 @on_loop
-async def test_crashes_that_are_added_up_by_the_neighbours_are_kept_too():
+async def test_quarantine_reached_by_merged_records_is_persisted():
     """Guards against a quarantine that no daemon persists.
 
     No daemon detects the third crash of the request; the count is reached only by
--- a/tests/test_departure_rows.py
+++ b/tests/test_departure_rows.py
@@ -58,7 +58,7 @@
 
     async def accept(self, sequence: int, state: TargetState = SERVING) -> bool:
         """Process an announcement and acknowledge it."""
-        await self.rows.restored()
+        await self.rows.wait_restored()
         target = Target("i-1", "127.0.0.1:1", (), 12, 99, state)
         is_accepted = self.announcements.accept(Announcement(target, 0, sequence))
         await self.rows.save()
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -37,7 +37,7 @@
 from pepperstaird.clock import boot_ms
 from pepperstaird.follower import ConfigurationFollower
 from tests.adapter.documents import document, rule
-from tests.adapter.test_settings import filled
+from tests.adapter.test_settings import render_settings
 
 LIMITS = CallerLimits(1, 1, 1, 1)
 
@@ -174,7 +174,7 @@
 
 def test_table_is_read_again_when_the_watch_has_expired(monkeypatch):
     """The store has discarded its history, so the watch can't be continued."""
-    monkeypatch.setattr(follower, "_SETTLE_S", 0.0)
+    monkeypatch.setattr(follower, "_PAUSE_MIN_S", 0.0)
     table = FakeTable(
         rows(3, b"5"), Err(Failure(ErrorKind.WATCH_EXPIRED)), rows(9, b"7")
     )
@@ -253,7 +253,7 @@
     """
     rules = [rule(f"r-{index:x}", f"/p{index:x}/", "ledger") for index in range(3000)]
     data = document(7, *rules)
-    settings = parse_all_settings(filled()).unwrap().product
+    settings = parse_all_settings(render_settings()).unwrap().product
     frame_max_bytes = settings.peers.frame_max_bytes
     assert len(data) > frame_max_bytes
     assert len(encode_frame(DocumentCopy(compress(data), 3))) < frame_max_bytes / 2
@@ -266,7 +266,7 @@
     If the watch continued from the previous position, the store would send the same
     version again, which takes most of a second on a slow link.
     """
-    monkeypatch.setattr(follower, "_SETTLE_S", 0.03)
+    monkeypatch.setattr(follower, "_PAUSE_MIN_S", 0.03)
     table = FakeTable(rows(3, b"5"))
     copy = DocumentCopy(compress(b"7"), 9)
     following = run_follower(table, FakeControl(), [("vm-2", copy)], for_s=0.1)
@@ -276,7 +276,7 @@
 
 def test_copy_of_an_older_version_does_not_move_the_watch(monkeypatch):
     """A neighbour that lags behind sends its version."""
-    monkeypatch.setattr(follower, "_SETTLE_S", 0.03)
+    monkeypatch.setattr(follower, "_PAUSE_MIN_S", 0.03)
     table = FakeTable(rows(3, b"5"))
     copy = DocumentCopy(compress(b"4"), 9)
     run_follower(table, FakeControl(), [("vm-2", copy)], for_s=0.1)
@@ -290,7 +290,7 @@
     If their watches ended at the same time, all would hang for six seconds or more
     after the store has recovered, and route by the old version.
     """
-    monkeypatch.setattr(follower, "_SETTLE_S", 0.0)
+    monkeypatch.setattr(follower, "_PAUSE_MIN_S", 0.0)
     for fleet in range(20):
         first_waits_ms = []
         for number in range(6):
@@ -306,9 +306,9 @@
 
     Reads without a pause in between would saturate the link and delay calls.
     """
-    monkeypatch.setattr(follower, "_SETTLE_S", 0.0)
+    monkeypatch.setattr(follower, "_PAUSE_MIN_S", 0.0)
     table = FakeTable(rows(3, b"5"), rows(4, b"6"), rows(5, b"7"))
-    slow = {"carry_s": lambda n_bytes: 0.1 * n_bytes}
+    slow = {"transfer_s": lambda n_bytes: 0.1 * n_bytes}
     run_follower(table, FakeControl(), for_s=0.09, **slow)
     assert len(table.calls) == 1
 
@@ -317,12 +317,12 @@
     """The transfer of the document takes a second on the VM's link. Its watch would
     transfer the document with each version and delay all calls.
     """
-    monkeypatch.setattr(follower, "_SETTLE_S", 0.0)
-    monkeypatch.setattr(follower, "_SETTLE_MAX_S", 0.0)
+    monkeypatch.setattr(follower, "_PAUSE_MIN_S", 0.0)
+    monkeypatch.setattr(follower, "_PAUSE_MAX_S", 0.0)
     table = FakeTable(rows(3, b"5"))
     control = FakeControl("vm-2", "vm-3")
     frames = [("vm-2", DocumentHave(7)), ("vm-3", DocumentHave(7))]
-    slow = {"carry_s": lambda n_bytes: 1.0, "is_source": lambda: False}
+    slow = {"transfer_s": lambda n_bytes: 1.0, "must_watch": lambda: False}
     run_follower(table, control, frames, **slow)
     assert table.calls == [None]
     # It pulls from one neighbour at once, and the same version from no second one.
@@ -335,17 +335,17 @@
     """A daemon on a slow link has lost its last neighbour, or it is the one in its zone
     that discovers versions for the others.
     """
-    monkeypatch.setattr(follower, "_SETTLE_S", 0.0)
-    monkeypatch.setattr(follower, "_SETTLE_MAX_S", 0.0)
-    monkeypatch.setattr(follower, "_LOOK_STEP_S", 0.01)
+    monkeypatch.setattr(follower, "_PAUSE_MIN_S", 0.0)
+    monkeypatch.setattr(follower, "_PAUSE_MAX_S", 0.0)
+    monkeypatch.setattr(follower, "_WATCH_CHECK_INTERVAL_S", 0.01)
     table = FakeTable(rows(3, b"5"))
-    is_source = [False]
-    slow = {"carry_s": lambda n_bytes: 1.0, "is_source": lambda: is_source[0]}
+    must_watch = [False]
+    slow = {"transfer_s": lambda n_bytes: 1.0, "must_watch": lambda: must_watch[0]}
     control = FakeControl()
     frames = [("vm-2", DocumentHave(5))]
     run_follower(table, control, frames, **slow)
     assert table.calls == [None]
-    is_source[0] = True
+    must_watch[0] = True
     table = FakeTable(rows(3, b"5"))
     run_follower(table, control, frames, **slow)
     assert table.calls == [None, 3] and table.waits_ms[0] > 0
@@ -354,7 +354,7 @@
 def shared_options(**options):
     """Return the options of a follower in a fleet that shares its reads."""
     schedule = ReadSchedule(2000.0, boot_ms(), random.Random(1))
-    return {"schedule": schedule, "place": lambda: 9, **options}
+    return {"schedule": schedule, "reader_rank": lambda: 9, **options}
 
 
 def test_starting_daemon_uses_a_neighbours_copy_and_reads_nothing():
@@ -438,7 +438,7 @@
 
 def test_pull_moves_on_to_the_next_neighbour_after_a_timeout(monkeypatch):
     """Guards against a daemon that waits for a neighbour killed in the meantime."""
-    monkeypatch.setattr(document_exchange, "_PULL_AGAIN_S", 0.01)
+    monkeypatch.setattr(document_exchange, "_PULL_RETRY_S", 0.01)
     control = FakeControl("vm-2", "vm-3")
     frames = [("vm-2", DocumentHave(5)), ("vm-3", DocumentHave(5))]
     run_follower(FakeTable(), control, frames, **shared_options())
@@ -459,7 +459,7 @@
 
 def test_rejected_document_is_not_pulled_again(monkeypatch):
     """Guards against endless copies of an invalid version that saturate a slow link."""
-    monkeypatch.setattr(document_exchange, "_PULL_AGAIN_S", 0.01)
+    monkeypatch.setattr(document_exchange, "_PULL_RETRY_S", 0.01)
     control = FakeControl("vm-2")
     frames = [("vm-2", DocumentHave(5)), ("vm-2", DocumentCopy(compress(b"bad"), 3))]
     frames += [("vm-2", DocumentHave(5))] * 3
--- a/tests/test_hangup.py
+++ b/tests/test_hangup.py
@@ -28,7 +28,7 @@
         handlers.append(signal.getsignal(signal.SIGHUP))
         raise _ImportsReached
 
-    monkeypatch.setattr(light_imports, "leave_out", record_handler)
+    monkeypatch.setattr(light_imports, "block_imports", record_handler)
     monkeypatch.setattr(
         "sys.argv", ["pepperstaird", "--settings", "examples/vm-1.toml"]
     )
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -55,7 +55,7 @@
     """
     program = (
         "from pepperstaird.running import run_daemon\n"
-        "from pepperstair_adapter.composition import platform_edges\n"
+        "from pepperstair_adapter.composition import platform_dependencies\n"
         "import sys\n"
         "print([n for n in sys.modules if n.startswith('pepperstair_core.distrib')])"
     )
--- a/tests/test_member_rows.py
+++ b/tests/test_member_rows.py
@@ -54,7 +54,7 @@
 
 def test_daemon_discovers_others_by_rows_and_removes_its_own(monkeypatch):
     """All seeds in the settings have been replaced; only the rows have addresses."""
-    monkeypatch.setattr(member_rows, "_JOIN_MAX_S", 0.0)
+    monkeypatch.setattr(member_rows, "_FIRST_WRITE_DELAY_MAX_S", 0.0)
     value = json.dumps({"peer_address": "127.0.0.1:9", "written_ms": 1})
     platform = FakePlatform(Row("member/b", value), Row("member/c", "not JSON"))
     own = Member("a", 1, 0, MemberState.ALIVE, "pos-a", "127.0.0.1:1", ())
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -15,7 +15,7 @@
 from pepperstair_core.errors import RunStatus
 from pepperstaird.counters import DaemonCounters, DaemonGauges
 from pepperstaird.metrics import DATAGRAM_MAX_BYTES, MetricsSender
-from pepperstaird.timings import Timings
+from pepperstaird.timings import DurationHistogram
 
 N_GAUGES = len(DaemonGauges.__struct_fields__)
 
@@ -129,7 +129,7 @@
 
 def test_percentiles_match_those_of_a_sorted_list_within_a_tenth():
     rng = random.Random(5)
-    histogram = Timings()
+    histogram = DurationHistogram()
     times = [rng.lognormvariate(1, 2) for _ in range(2000)]
     for time_ms in times:
         histogram.add(time_ms)
@@ -140,7 +140,7 @@
 
 
 def test_percentiles_stay_in_range_for_extreme_durations():
-    histogram = Timings()
+    histogram = DurationHistogram()
     for duration_ms in (0.0, 0.001, 1.0, 1e9):
         histogram.add(duration_ms)
     times = dict(histogram.pop_percentiles())
--- a/tests/test_process_at_most_once.py
+++ b/tests/test_process_at_most_once.py
@@ -13,11 +13,11 @@
 
 from benchmarks.fleet import DaemonProcess, Fleet, fetch_async
 from tests.process_fleet import (
-    Told,
+    CallAnswer,
     award_document,
     call_async,
     put_in_force,
-    runs_of,
+    run_counts,
     set_target_state,
     start_daemons,
     start_target,
@@ -35,7 +35,7 @@
     """Sent bodies and received answers of all calls, by request id."""
 
     bodies: dict[str, bytes] = field(default_factory=dict)
-    answers: dict[str, Told] = field(default_factory=dict)
+    answers: dict[str, CallAnswer] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
@@ -107,7 +107,7 @@
     rng = random.Random(seed)
     record = CallRecord()
     asyncio.run(_call_under_faults(fleet, targets, rng, record))
-    runs = sum((Counter(runs_of(target)) for target in targets), Counter())
+    runs = sum((Counter(run_counts(target)) for target in targets), Counter())
     assert list(_iter_violations(record, runs)) == []
     # The test would be meaningless if nearly all calls had been refused.
     statuses = Counter(answer.status for answer in record.answers.values())
@@ -170,9 +170,9 @@
 
 def test_checker_finds_each_kind_of_violation():
     record = CallRecord({"a": b"a", "b": b"b", "c": b"c", "d": b"d"})
-    record.answers["a"] = Told(200, "yes", "", b"x\na")
-    record.answers["b"] = Told(503, "no", "draining", b"")
-    record.answers["c"] = Told(200, "yes", "", b"x\nd")
-    record.answers["d"] = Told(502, "", "", b"")
+    record.answers["a"] = CallAnswer(200, "yes", "", b"x\na")
+    record.answers["b"] = CallAnswer(503, "no", "draining", b"")
+    record.answers["c"] = CallAnswer(200, "yes", "", b"x\nd")
+    record.answers["d"] = CallAnswer(502, "", "", b"")
     found = list(_iter_violations(record, Counter(a=2, b=1, c=0)))
     assert [line.split()[0] for line in found] == ["a", "b", "c", "c", "d"]
--- a/tests/test_process_drain.py
+++ b/tests/test_process_drain.py
@@ -11,7 +11,7 @@
     call,
     call_during,
     put_in_force,
-    runs_of,
+    run_counts,
     set_target_state,
     start_daemons,
     start_target,
@@ -39,7 +39,7 @@
     )
     assert [answer.status for answer in answers] == [200] * N_SLOW_CALLS
     time.sleep(DRAIN_S)
-    runs_before = runs_of(draining_target)
+    runs_before = run_counts(draining_target)
     later = [call(daemons[index % 3], f"later-{index}") for index in range(60)]
     assert {answer.status for answer in later} == {200}
-    assert runs_of(draining_target) == runs_before
+    assert run_counts(draining_target) == runs_before
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -8,12 +8,12 @@
 from benchmarks.intents import apply_intent
 from tests.process_fleet import (
     CUSTOMER,
-    Told,
+    CallAnswer,
     award_document,
     call,
     call_async,
     put_in_force,
-    runs_of,
+    run_counts,
     served_by,
     start_daemons,
     start_target,
@@ -35,7 +35,7 @@
     applied = apply_intent(daemons[1], CUSTOMER, award_document("vault"))
     wait_in_force(daemons[1:], applied.version)
 
-    async def call_frozen() -> list[Told]:
+    async def call_frozen() -> list[CallAnswer]:
         calls = [
             asyncio.create_task(call_async(daemons[0].callers, f"frozen-{index}"))
             for index in range(20)
@@ -63,7 +63,7 @@
     assert served_by(call(daemons[1], "before")) == "ledger"
     daemons[0].freeze()
 
-    async def call_through_others() -> list[Told]:
+    async def call_through_others() -> list[CallAnswer]:
         calls = [
             call_async(
                 daemons[1 + index % 2].callers, f"frozen-{index}", timeout_ms="400"
@@ -79,6 +79,8 @@
     wait_until(lambda: served_by(call(daemons[1], "after")) == "ledger", "ledger")
     assert {answer.status for answer in answers} <= {502, 503, 504}
     ran = [
-        request_id for request_id in runs_of(target) if request_id.startswith("frozen-")
+        request_id
+        for request_id in run_counts(target)
+        if request_id.startswith("frozen-")
     ]
     assert ran == []
--- a/tests/test_process_pause_both.py
+++ b/tests/test_process_pause_both.py
@@ -10,7 +10,7 @@
     call,
     call_async,
     put_in_force,
-    runs_of,
+    run_counts,
     served_by,
     start_daemons,
     start_target,
@@ -51,6 +51,8 @@
     daemons[1].wake()
     wait_until(lambda: served_by(call(daemons[1], "again")) == "ledger", "ledger")
     ran = [
-        request_id for request_id in runs_of(target) if request_id.startswith("frozen-")
+        request_id
+        for request_id in run_counts(target)
+        if request_id.startswith("frozen-")
     ]
     assert ran == []
--- a/tests/test_process_routes.py
+++ b/tests/test_process_routes.py
@@ -9,7 +9,7 @@
 from benchmarks.intents import apply_intent_async
 from tests.process_fleet import (
     CUSTOMER,
-    Told,
+    CallAnswer,
     award_document,
     call_async,
     put_in_force,
@@ -35,7 +35,7 @@
     put_in_force(fleet, award_document("ledger"), daemons[0])
     is_over = asyncio.Event()
 
-    async def call_on(daemon: DaemonProcess) -> list[Told]:
+    async def call_on(daemon: DaemonProcess) -> list[CallAnswer]:
         answers = []
         for number in itertools.count():
             request_id = f"{daemon.vm}-{number}"
@@ -43,7 +43,7 @@
             if is_over.is_set():
                 return answers
 
-    async def change_under_calls() -> list[Told]:
+    async def change_under_calls() -> list[CallAnswer]:
         calls = [asyncio.create_task(call_on(daemon)) for daemon in daemons]
         for change, service in zip(
             range(N_CHANGES), itertools.cycle(("vault", "ledger")), strict=False
--- a/tests/test_process_silence.py
+++ b/tests/test_process_silence.py
@@ -13,7 +13,7 @@
     is_ready,
     knows_target,
     put_in_force,
-    runs_of,
+    run_counts,
     wait_for_runs,
 )
 
@@ -78,4 +78,4 @@
         put_in_force(fleet, award_document("ledger", 10_000), target_side)
 
     asyncio.run(run())
-    assert set(runs_of(targets[0]).values()) == {1}
+    assert set(run_counts(targets[0]).values()) == {1}
--- a/tests/test_process_stop.py
+++ b/tests/test_process_stop.py
@@ -14,7 +14,7 @@
     call,
     call_during,
     put_in_force,
-    runs_of,
+    run_counts,
     served_by,
     start_daemons,
     start_target,
@@ -41,7 +41,7 @@
     assert [answer.status for answer in answers] == [200] * N_SLOW_CALLS
     wait_until(lambda: stopping_daemon.process.poll() is not None, "the daemon ended")
     assert stopping_daemon.process.returncode == 0
-    assert max(runs_of(target).values()) == 1
+    assert max(run_counts(target).values()) == 1
 
 
 def test_calls_to_a_stopped_daemon_are_sent_elsewhere(fleet):
