--- a/packages/pepperstair-operators/pepperstair_operators/client.py
+++ b/packages/pepperstair-operators/pepperstair_operators/client.py
@@ -67,7 +67,7 @@
     try:
         return Ok(Reply(response.status, json.loads(response.body)))
     except ValueError:
-        detail = f"status {response.status} without JSON: not an operators' interface"
+        detail = f"status {response.status} without JSON, no operators' interface"
         return Err(_no_reply(method, detail))
 
 
