--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,3 +1,3 @@
-"""Measurements that the documentation quotes, each run by make."""
+"""Benchmarks whose results the documentation quotes, each run by a make target."""
 
 from __future__ import annotations
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of the brief, with one daemon beside each instance."""
+"""Two users' deployments, with one daemon beside each instance of a service."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """One service: how many instances it has and the slots of each."""
+    """A service, the number of its instances and the slots of each instance."""
 
     name: str
     n_instances: int
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """One user's zones and services."""
+    """The availability zones and services of one user."""
 
     customer: str
     zones: tuple[str, ...]
@@ -30,7 +30,7 @@
 
     @property
     def n_slots(self) -> int:
-        """Return the slots of all instances together."""
+        """Return the number of slots of all instances together."""
         return sum(service.n_instances * service.n_slots for service in self.services)
 
 
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Running:
-    """A deployment that runs: its fleet and its targets' addresses."""
+    """A running deployment: its fleet and the addresses of its targets."""
 
     deployment: Deployment
     fleet: Fleet
@@ -62,7 +62,7 @@
 
 
 def start_deployment(deployment: Deployment, fleet: Fleet, work_ms: float) -> Running:
-    """Start daemons and targets and put every customer's routes in force."""
+    """Start daemons and targets, and put the routes of every customer in force."""
     fleet.start_platform()
     instances = [
         (service, index)
@@ -82,28 +82,34 @@
         )
         for daemon, (service, _) in zip(fleet.daemons, instances, strict=True)
     )
-    _wait_for(fleet, lambda status: status.get("ready"), "every daemon ready")
-    documents = _documents(deployment)
+    _wait_for(fleet, lambda status: status.get("ready"), "daemon ready")
+    documents = _intent_documents(deployment)
     for customer, document in documents.items():
         applied = apply_intent(fleet.daemons[0], customer, document)
         if applied.status != 200:
-            raise AssertionError(f"{customer}: {applied}")
+            raise AssertionError(
+                f"the intent of {customer} was not accepted: {applied}"
+            )
     customers = set(documents)
-    _wait_for(fleet, lambda s: customers <= s["versions"].keys(), "routes everywhere")
+    _wait_for(
+        fleet,
+        lambda s: customers <= s["versions"].keys(),
+        "routes of all customers in force",
+    )
     _wait_for(
         fleet,
         lambda status: sum(map(_n_targets, status["members"])) == len(targets),
-        "every target known everywhere",
+        "all targets known",
     )
     return Running(deployment, fleet, targets)
 
 
 async def tell_target(target: str, what: str, value: str) -> None:
-    """Change how a target stand-in behaves: its state, status or work-ms."""
+    """Set the `state`, `status` or `work-ms` of a target stand-in."""
     await fetch_async(target, "PUT", f"/stand-in/{what}", value.encode())
 
 
-def _documents(deployment: Deployment) -> dict[str, str]:
+def _intent_documents(deployment: Deployment) -> dict[str, str]:
     names = tuple(service.name for service in deployment.services)
     kinds = (("urgent", 2000), ("normal", 2000), ("deferrable", 10_000))
     routes = tuple(
--- a/benchmarks/document.py
+++ b/benchmarks/document.py
@@ -1,7 +1,8 @@
-"""What a version of the operators' document costs a daemon of the users' platform.
+"""The cost of a version of the operators' document on the users' platform.
 
-`python -m benchmarks.document` prints the size of documents, as they are and packed,
-and the processor time to read one, to read the next one, and to compile its routes.
+`python -m benchmarks.document` prints the size of documents, raw and compressed, and
+the processor time to read one in full, to read the next one incrementally, and to
+compile its routes.
 """
 
 from __future__ import annotations
@@ -37,18 +38,18 @@
     intent = reader(first).unwrap().intent
     head = Head("platform", 7, "", 0, "", "")
     snapshot = Snapshot(head, first, intent)
-    anew_ms = _time_ms(lambda: read_document(second))
-    next_ms = _time_ms(lambda: reader(second))
+    full_read_ms = _time_ms(lambda: read_document(second))
+    incremental_read_ms = _time_ms(lambda: reader(second))
     compile_ms = _time_ms(lambda: compile_routes((snapshot,), {"service": "vault"}))
     print(
-        f"{n_routes} routes: {len(first)} bytes, packed {len(compress(first))};"
-        f" read anew {anew_ms:.1f} ms, as the next one {next_ms:.1f} ms,"
-        f" compile {compile_ms:.1f} ms"
+        f"{n_routes} routes: {len(first)} bytes, compressed {len(compress(first))};"
+        f" full read {full_read_ms:.1f} ms,"
+        f" incremental read {incremental_read_ms:.1f} ms, compile {compile_ms:.1f} ms"
     )
 
 
 def _time_ms(work: Callable[[], Any]) -> float:
-    """Return the least processor time of a few runs, in ms."""
+    """Return the minimum processor time of a few runs, in ms."""
     times = []
     for _ in range(_N_REPEATS):
         before_s = time.process_time()
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -26,23 +26,23 @@
 PEPPERSTAIRD = (str(SCRIPTS / "pepperstaird"),)
 _N_LAST_LINES = 10
 _PORT_RANGE = (10_000, 32_000)
-_PORTS = random.SystemRandom()
-_handed_out: set[int] = set()
+_PORT_RNG = random.SystemRandom()
+_assigned_ports: set[int] = set()
 NAIVE_DAEMON = (sys.executable, "-m", "benchmarks.naive")
 
 
 def free_port() -> int:
-    """Return a port that nothing listens on now, and never the same one twice.
+    """Return a port on which nothing listens; each call returns a different one.
 
-    It lies below the range that the kernel takes ports for outgoing connections
-    from: one of those could hold the port of a killed daemon when it comes back,
-    and its owner would answer calls that are meant for that daemon.
+    The port lies below the kernel's ephemeral port range. Otherwise an outgoing
+    connection could occupy the port of a killed daemon before it is restarted, and
+    the owner of that connection would answer calls meant for the daemon.
     """
     while True:
-        port = _PORTS.randrange(*_PORT_RANGE)
-        if port in _handed_out:
+        port = _PORT_RNG.randrange(*_PORT_RANGE)
+        if port in _assigned_ports:
             continue
-        _handed_out.add(port)
+        _assigned_ports.add(port)
         with socket.socket() as probe, contextlib.suppress(OSError):
             probe.bind(("127.0.0.1", port))
             return port
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class DaemonProcess:
-    """One started daemon and its addresses."""
+    """A daemon that was started, and its addresses."""
 
     vm: str
     callers: str
@@ -61,53 +61,53 @@
 
     @property
     def log(self) -> Path:
-        """Return the file that the daemon's log lines go to."""
+        """Return the file that the daemon's log is written to."""
         return self.settings.with_suffix(".log")
 
     def kill(self) -> None:
-        """End the process at once, as when its VM is lost."""
+        """Kill the process immediately, as when its VM is lost."""
         self.process.kill()
         self.process.wait()
 
     def freeze(self) -> None:
-        """Stop the process where it stands, unaware of it."""
+        """Pause the process with SIGSTOP, which it can't catch."""
         self.process.send_signal(signal.SIGSTOP)
 
     def wake(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a paused process with SIGCONT."""
         self.process.send_signal(signal.SIGCONT)
 
 
 @dataclass(frozen=True)
 class StartedModule:
-    """A stand-in that was started, and the file that its errors go to."""
+    """A stand-in that was started, and the file that its stderr is written to."""
 
     name: str
     process: subprocess.Popen[bytes]
     log: Path
 
     def wait_until_listening(self, address: str, timeout_s: float = 20.0) -> None:
-        """Return once it listens; TimeoutError tells what became of it instead."""
+        """Return once it listens, or raise TimeoutError with its last errors."""
 
-        def is_decided() -> bool:
+        def has_outcome() -> bool:
             return _is_listening(address) or self.process.poll() is not None
 
         with contextlib.suppress(TimeoutError):
-            wait_until(is_decided, address, timeout_s)
+            wait_until(has_outcome, address, timeout_s)
         if _is_listening(address):
             return
         status = self.process.poll()
-        reason = f"it ended with status {status}"
+        reason = f"it exited with status {status}"
         if status is None:
-            reason = f"it runs, and nothing listens at {address} in {timeout_s} s"
+            reason = f"it runs, and nothing listens at {address} after {timeout_s} s"
         lines = self.log.read_text(errors="replace").splitlines()[-_N_LAST_LINES:]
-        last_lines = "\n".join(lines) or "it has written no error"
+        last_lines = "\n".join(lines) or "it has written nothing to stderr"
         raise TimeoutError(f"{self.name}: {reason}\n{last_lines}")
 
 
 @dataclass
 class Fleet:
-    """The processes of one run, all stopped by `stop`."""
+    """The processes of one run, which `stop` stops."""
 
     folder: Path
     daemon_command: tuple[str, ...] = PEPPERSTAIRD
@@ -120,7 +120,7 @@
         port = free_port()
         self.platform = f"127.0.0.1:{port}"
         module = "stand_ins.platform"
-        started = self._start_module(module, "--port", str(port), *arguments)
+        started = self._start_stand_in(module, "--port", str(port), *arguments)
         started.wait_until_listening(self.platform)
 
     def start_daemon(
@@ -128,14 +128,14 @@
         vm: str,
         availability_zone: str,
         labels: str,
-        more: str = "",
+        extra_settings: str = "",
         peer_address: str = "",
         advertised_address: str = "",
     ) -> DaemonProcess:
-        """Start a daemon that joins through the first one.
+        """Start a daemon whose only seed is the first daemon of the fleet.
 
-        `advertised_address` is where the others reach its `peer_address`, for
-        instance through a relay.
+        `advertised_address` is the address at which the other daemons reach its
+        `peer_address`, for instance that of a relay.
         """
         addresses = [f"127.0.0.1:{free_port()}" for _ in range(2)]
         addresses.append(peer_address or f"127.0.0.1:{free_port()}")
@@ -148,14 +148,14 @@
             f'[operators]\naddress = "{addresses[1]}"\n'
             f'[peers]\naddress = "{addresses[2]}"\nseed_addresses = {seeds}\n'
             f'advertised_address = "{advertised_address}"\n'
-            f'[platform]\naddress = "{self.platform}"\n{more}'
+            f'[platform]\naddress = "{self.platform}"\n{extra_settings}'
         )
         daemon = DaemonProcess(vm, *addresses, settings, self.spawn_daemon(settings))
         self.daemons.append(daemon)
         return daemon
 
     def spawn_daemon(self, settings: Path) -> subprocess.Popen[bytes]:
-        """Start a daemon process on settings; its log goes beside them."""
+        """Start a daemon process with a settings file; its log has the same stem."""
         with settings.with_suffix(".log").open("ab") as log:
             process = subprocess.Popen(
                 [*self.daemon_command, "--settings", settings],
@@ -167,28 +167,30 @@
         return process
 
     def restart_daemon(self, daemon: DaemonProcess) -> DaemonProcess:
-        """Start a daemon that has ended again, on the same addresses."""
+        """Start a daemon that has exited again, on the same addresses."""
         index = self.daemons.index(daemon)
         restarted = replace(daemon, process=self.spawn_daemon(daemon.settings))
         self.daemons[index] = restarted
         return restarted
 
     def set_platform_faults(self, **faults: Any) -> None:
-        """Set what goes wrong at the platform stand-in; nothing for none."""
+        """Set the fault that the platform stand-in injects; no arguments clear it."""
         body = json.dumps({"mode": "none", **faults}).encode()
         fetch(self.platform, "PUT", "/v1/faults", body)
 
-    def start_target(self, daemon: DaemonProcess, service: str, *more: str) -> str:
-        """Start a target beside a daemon and return its address."""
+    def start_target(
+        self, daemon: DaemonProcess, service: str, *extra_arguments: str
+    ) -> str:
+        """Start a target that announces itself to a daemon, and return its address."""
         port = str(free_port())
         arguments = ("--port", port, "--daemon", daemon.operators, "--service", service)
-        started = self._start_module("stand_ins.target", *arguments, *more)
+        started = self._start_stand_in("stand_ins.target", *arguments, *extra_arguments)
         address = f"127.0.0.1:{port}"
         started.wait_until_listening(address)
         return address
 
     def stop(self) -> None:
-        """Stop every process, by force where it does not end by itself."""
+        """Terminate every process, and kill those that don't exit within 5 s."""
         for process in self.processes:
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
@@ -200,7 +202,7 @@
                 process.kill()
                 process.wait()
 
-    def _start_module(self, module: str, *arguments: str) -> StartedModule:
+    def _start_stand_in(self, module: str, *arguments: str) -> StartedModule:
         command = [sys.executable, "-m", module, *arguments]
         log = self.folder / f"{module}-{len(self.processes)}.log"
         with log.open("wb") as output:
@@ -219,7 +221,7 @@
 def running_fleet(
     daemon_command: tuple[str, ...] = PEPPERSTAIRD,
 ) -> Iterator[Fleet]:
-    """Yield an empty fleet and stop all that was started in it."""
+    """Yield an empty fleet and stop every process started in it on exit."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder), daemon_command)
         try:
@@ -231,29 +233,29 @@
 def wait_until(
     condition: Callable[[], bool], what: str, timeout_s: float = 20.0
 ) -> None:
-    """Wait for a condition, or raise TimeoutError that names it."""
+    """Wait until a condition is true, or raise TimeoutError that names it."""
     deadline_s = time.monotonic() + timeout_s
     while time.monotonic() < deadline_s:
         if condition():
             return
         time.sleep(0.02)
-    raise TimeoutError(f"not seen within {timeout_s} s: {what}")
+    raise TimeoutError(f"condition not met within {timeout_s} s: {what}")
 
 
 def fetch(
     address: str, method: str, path: str, body: bytes = b"", headers: Any = ()
 ) -> tuple[int, bytes]:
-    """Send one request and return status and body; status 0 without an answer."""
+    """Send a request and return status and body; status 0 if there was no answer."""
     return asyncio.run(fetch_async(address, method, path, body, headers))
 
 
 async def fetch_async(
     address: str, method: str, path: str, body: bytes = b"", headers: Any = ()
 ) -> tuple[int, bytes]:
-    """Do the same on a running loop.
+    """Do the same as `fetch` on a running event loop.
 
-    A second loop in another thread would not do: the connections of a process
-    share one buffer, and answers would be mixed.
+    Running `fetch` in another thread with its own loop is unsafe: the connections of
+    a process share one receive buffer, so answers would be mixed.
     """
     fetcher = Fetcher(*parse_address(address), 5000)
     try:
@@ -266,7 +268,7 @@
 
 
 def status_of(daemon: DaemonProcess) -> dict[str, Any]:
-    """Return a daemon's status, empty while it does not answer."""
+    """Return a daemon's status, or an empty one if it does not answer."""
     code, body = fetch(daemon.operators, "GET", "/v1/status")
     return json.loads(body) if code == 200 else {}
 
--- a/benchmarks/intents.py
+++ b/benchmarks/intents.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteSpec:
-    """What differs between the routes that benchmarks and tests use."""
+    """The parameters of a route that benchmarks and tests vary."""
 
     name: str
     path: str
@@ -37,8 +37,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
-    """What a daemon answered to a change; status 0 where no answer came."""
+class ChangeAnswer:
+    """A daemon's answer to a change; status 0 if there was none."""
 
     status: int
     version: int
@@ -49,7 +49,7 @@
 def intent_toml(
     customer: str, services: tuple[str, ...], routes: tuple[RouteSpec, ...]
 ) -> str:
-    """Return an intent document."""
+    """Return an intent document in TOML."""
     parts = [f'customer = "{customer}"\n']
     parts.extend(_SERVICE.format(name=name) for name in services)
     parts.extend(_route_toml(route) for route in routes)
@@ -57,7 +57,7 @@
 
 
 def sized_intent(customer: str, n_routes: int, revision: int) -> str:
-    """Return an intent of a size in which a revision changes one route only."""
+    """Return an intent with `n_routes` routes, of which each revision changes one."""
     changed = revision % n_routes
     routes = tuple(
         RouteSpec(
@@ -77,8 +77,8 @@
     document: str,
     change_id: str = "",
     from_version: int | None = None,
-) -> Applied:
-    """Send a document to a daemon and return what it answered."""
+) -> ChangeAnswer:
+    """Send a document to a daemon and return its answer."""
     return asyncio.run(
         apply_intent_async(daemon, customer, document, change_id, from_version)
     )
@@ -90,15 +90,15 @@
     document: str,
     change_id: str = "",
     from_version: int | None = None,
-) -> Applied:
-    """Do the same on a running loop."""
+) -> ChangeAnswer:
+    """Do the same as `apply_intent` on a running event loop."""
     query = [f"change_id={change_id}"] if change_id else []
     if from_version is not None:
         query.append(f"from_version={from_version}")
     path = f"/v1/intent/{customer}?{'&'.join(query)}"
     status, body = await fetch_async(daemon.operators, "PUT", path, document.encode())
     content = json.loads(body) if body else {}
-    return Applied(
+    return ChangeAnswer(
         status,
         content.get("version", 0),
         content.get("error", ""),
@@ -118,7 +118,7 @@
 
 
 __all__ = [
-    "Applied",
+    "ChangeAnswer",
     "RouteSpec",
     "apply_intent",
     "apply_intent_async",
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,4 @@
-"""An open load on a deployment: calls arrive whether or not others are answered."""
+"""An open-loop load: calls arrive whether or not earlier ones are answered."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stream:
-    """Calls of one kind: where they go, how many a second, when they are late."""
+    """Calls of one kind: their paths, their rate and their deadline."""
 
     kind: str
     paths: tuple[str, ...]
@@ -27,17 +27,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """How one call ended: status 0 where its connection was lost."""
+    """The outcome of one call; status 0 if it timed out or its connection failed."""
 
     kind: str
     status: int
-    took_ms: float
+    duration_ms: float
     is_in_time: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What became of the calls of one kind."""
+    """The goodput and latency of the calls of one kind."""
 
     n_offered: int
     good_percent: float
@@ -51,7 +51,7 @@
     duration_s: float,
     rng: random.Random,
 ) -> list[Answered]:
-    """Offer Poisson arrivals for a time and wait until all have ended."""
+    """Send calls with Poisson arrivals for a duration and wait for all outcomes."""
     client = _Client(addresses)
     arrivals = sorted(_iter_arrivals(streams, duration_s, rng), key=lambda a: a[0])
     started_s = time.monotonic()
@@ -69,7 +69,7 @@
 def summarise(answered: Sequence[Answered], kind: str) -> Summary:
     """Return goodput and latency of the calls of one kind."""
     calls = [call for call in answered if call.kind == kind]
-    good_ms = [call.took_ms for call in calls if call.is_in_time]
+    good_ms = [call.duration_ms for call in calls if call.is_in_time]
     if not good_ms:
         return Summary(len(calls), 0.0, float("nan"), float("nan"))
     return Summary(
@@ -89,7 +89,7 @@
 
 
 class _Client:
-    """Callers that spread their calls over the daemons and keep connections."""
+    """Callers that distribute calls round-robin over the daemons, with keep-alive."""
 
     def __init__(self, addresses: Sequence[str]) -> None:
         self._addresses = [parse_address(address) for address in addresses]
@@ -98,7 +98,7 @@
         }
 
     async def call(self, stream: Stream, path: str, number: int) -> Answered:
-        """Send one call and note how it ended."""
+        """Send one call and return its outcome."""
         address = self._addresses[number % len(self._addresses)]
         started_s = time.monotonic()
         try:
@@ -106,14 +106,14 @@
                 status = await self._exchange(address, stream, path, number)
         except (OSError, TimeoutError, ConnectionLostError):
             status = 0
-        took_ms = (time.monotonic() - started_s) * 1000
-        is_in_time = status == 200 and took_ms <= stream.deadline_ms
-        return Answered(stream.kind, status, took_ms, is_in_time)
+        duration_ms = (time.monotonic() - started_s) * 1000
+        is_in_time = status == 200 and duration_ms <= stream.deadline_ms
+        return Answered(stream.kind, status, duration_ms, is_in_time)
 
     async def _exchange(
         self, address: tuple[str, int], stream: Stream, path: str, number: int
     ) -> int:
-        connection = self._take(address) or await connect(*address)
+        connection = self._take_idle(address) or await connect(*address)
         try:
             headers = (
                 (b"host", b"mesh"),
@@ -131,7 +131,7 @@
             self._idle[address].append(connection)
         return head.status
 
-    def _take(self, address: tuple[str, int]) -> ClientConnection | None:
+    def _take_idle(self, address: tuple[str, int]) -> ClientConnection | None:
         idle = self._idle[address]
         while idle:
             connection = idle.pop()
@@ -141,7 +141,7 @@
         return None
 
     def close(self) -> None:
-        """Close every kept connection."""
+        """Close every idle connection."""
         for connections in self._idle.values():
             for connection in connections:
                 connection.close()
--- a/benchmarks/machine.py
+++ b/benchmarks/machine.py
@@ -1,4 +1,4 @@
-"""What a measurement ran on, printed beside its figures."""
+"""Describes the machine of a benchmark, for the report of its results."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def describe_machine() -> str:
-    """Return processor count, load and Python version on one line."""
+    """Return the number of cores, the load and the Python version on one line."""
     load = os.getloadavg()[0]
     return (
         f"{os.cpu_count()} cores, load {load:.1f}, "
--- a/benchmarks/naive/configuration.py
+++ b/benchmarks/naive/configuration.py
@@ -1,4 +1,4 @@
-"""Every daemon polls every head and fetches whole snapshots from the platform."""
+"""Distribution by polling: reads all heads and whole snapshots from the platform."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
         self.on_changed: Callable[[Snapshot], None] = lambda snapshot: None
 
     def start(self) -> None:
-        """Begin to poll the platform."""
-        self._task = asyncio.get_running_loop().create_task(self._poll_for_ever())
+        """Start polling the platform."""
+        self._task = asyncio.get_running_loop().create_task(self._poll_forever())
 
     def close(self) -> None:
         """Stop polling."""
@@ -61,10 +61,10 @@
         return self._in_force.get(customer)
 
     def apply(self, snapshot: Snapshot) -> bool:
-        """Put a snapshot in force, unless the held one is as new.
+        """Put a snapshot in force, unless the one in force is at least as new.
 
-        Updates cross each other in flight; comparing versions keeps an older
-        one that arrives late from taking the proxy back.
+        Updates can arrive out of order; comparing versions keeps an older one that
+        arrives late from replacing a newer one. Return whether it was applied.
         """
         customer = snapshot.head.customer
         held = self._in_force.get(customer)
@@ -79,7 +79,7 @@
         self.on_changed(snapshot)
         return True
 
-    async def _poll_for_ever(self) -> None:
+    async def _poll_forever(self) -> None:
         while True:
             await self._poll()
             await asyncio.sleep(self._settings.poll_interval_ms / 1000)
@@ -100,7 +100,7 @@
                 yield head
 
     async def _fetch(self, head: Head) -> bool:
-        """Fetch and apply one version; a bad one is applied nowhere in part."""
+        """Fetch and apply one version; an invalid one is rejected as a whole."""
         read = await self._platform.get_object(head.digest)
         if read.is_err() or read.unwrap() is None:
             return False
--- a/benchmarks/naive/daemon.py
+++ b/benchmarks/naive/daemon.py
@@ -1,4 +1,4 @@
-"""Puts the naive parts on one event loop."""
+"""Builds the components of the naive daemon and connects them on one event loop."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class NaiveDaemon:
-    """One naive daemon: all its parts, and the functions that join them."""
+    """One naive daemon: its components and the functions that connect them."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -99,11 +99,11 @@
         self._lease_task: asyncio.Task[None] | None = None
 
     def is_ready(self) -> bool:
-        """Return whether the daemon may carry calls."""
+        """Return whether the daemon may serve calls."""
         return self.configuration.is_floor_known
 
     def counters(self) -> dict[str, int]:
-        """Return the counts that `status` shows."""
+        """Return the counters that `status` shows."""
         return {
             "n_calls": self.proxy.n_calls,
             "n_calls_failed": self.proxy.n_failed,
@@ -114,7 +114,7 @@
         }
 
     async def start(self) -> None:
-        """Listen on every address and begin to join the fleet."""
+        """Listen on every address and start joining the fleet."""
         settings = self.settings
         await self.operators.listen(*parse_address(settings.operators.address))
         await self.listener.listen(*parse_address(settings.peers.address))
@@ -125,7 +125,7 @@
         log.info(Event.STARTED, peer_address=settings.peers.address)
 
     async def stop(self) -> None:
-        """Wait for the calls that targets run, then close."""
+        """Wait for the calls in flight at local targets, then close everything."""
         log.info(Event.STOPPING)
         self.runner.is_draining = True
         self.callers.drain()
@@ -150,7 +150,7 @@
             route_table=lambda: self.configuration.route_table,
             endpoints=self._endpoints,
             choose=self._choose,
-            send_attempt=self._carry,
+            send_attempt=self._send_attempt,
             is_ready=self.is_ready,
             body_max_bytes=self.settings.callers.body_max_bytes,
         )
@@ -165,7 +165,7 @@
     def _choose(self, endpoints: list[Endpoint]) -> Endpoint | None:
         return self.rng.choice(endpoints) if endpoints else None
 
-    async def _carry(
+    async def _send_attempt(
         self, endpoint: Endpoint, head: CallHead, body: BodyBuffer
     ) -> StreamedResponse:
         if endpoint.vm == self.settings.vm.name:
--- a/benchmarks/naive/operations.py
+++ b/benchmarks/naive/operations.py
@@ -1,4 +1,4 @@
-"""What the operators' interface of the naive daemon answers."""
+"""The operations of the naive daemon's operators' interface."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def add_naive_operations(server: OperatorServer, daemon: NaiveDaemon) -> None:
-    """Serve what the demo, the tests and the benchmarks ask of a daemon."""
+    """Add the operations that the demo, the tests and the benchmarks use."""
 
     async def status(request: OperatorRequest) -> OperatorReply:
         return json_reply(_status(daemon))
@@ -42,12 +42,12 @@
 
     async def put_target(request: OperatorRequest) -> OperatorReply:
         labels = daemon.settings.vm.labels
-        taken = handle_announcement(
+        announced = handle_announcement(
             daemon.registry, labels, request.name, request.body, monotonic_ms()
         )
-        if taken.is_err():
+        if announced.is_err():
             return failure_reply(Failure(ErrorKind.BAD_REQUEST))
-        return json_reply({"lease_ms": taken.unwrap()})
+        return json_reply({"lease_ms": announced.unwrap()})
 
     async def delete_target(request: OperatorRequest) -> OperatorReply:
         daemon.registry.deregister(request.name)
--- a/benchmarks/naive/proxy.py
+++ b/benchmarks/naive/proxy.py
@@ -1,4 +1,4 @@
-"""Carries a request to a random target and blindly tries again on any failure."""
+"""Sends a request to a random target and retries it after any failure."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NaiveContext:
-    """What the proxy needs of the rest of the daemon, as functions.
+    """The interface between the proxy and the rest of the daemon.
 
-    `choose` picks one of a service's endpoints, None where there is none.
+    `choose` picks one of a service's endpoints and returns None if there is none.
     """
 
     vm: str
@@ -48,7 +48,7 @@
 
 
 class NaiveProxy:
-    """The handler of callers' requests."""
+    """Handles the requests of callers."""
 
     def __init__(self, context: NaiveContext) -> None:
         self._context = context
@@ -58,7 +58,7 @@
         self.n_retries = 0
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request: the target's whole answer or one clear failure."""
+        """Answer one request with the target's answer or with one failure."""
         self.n_calls += 1
         try:
             response = await self._call(exchange)
@@ -91,7 +91,7 @@
     async def _attempt(
         self, request: Request, compiled: CompiledRoute, body: bytes
     ) -> StreamedResponse:
-        """Send the request once, to any target and with all of its time."""
+        """Send the request once, to a random target and with its full timeout."""
         context = self._context
         endpoint = context.choose(list(context.endpoints(compiled)))
         if endpoint is None:
@@ -125,7 +125,7 @@
 
 
 async def _relay(exchange: Exchange, response: StreamedResponse) -> None:
-    """Pass the answer on; where it is cut, the caller's connection is broken."""
+    """Forward the answer; abort the caller's connection if it is truncated."""
     headers = (*end_to_end_headers(response.headers), (b"pepperstair-run", b"yes"))
     if exchange.request.method != "HEAD" and not _has_length(response.headers):
         headers = (*headers, (b"transfer-encoding", b"chunked"))
@@ -176,15 +176,15 @@
 
 
 def _is_idempotent(request: Request, compiled: CompiledRoute) -> bool:
-    stated = header_value(request.headers, b"pepperstair-idempotent")
-    return compiled.route.is_idempotent or stated.lower() == b"true"
+    header = header_value(request.headers, b"pepperstair-idempotent")
+    return compiled.route.is_idempotent or header.lower() == b"true"
 
 
 def _timeout_ms(headers: Headers, route_timeout_ms: int) -> int:
-    stated = header_value(headers, b"pepperstair-timeout-ms")
-    if not stated.isdigit() or int(stated) == 0:
+    header = header_value(headers, b"pepperstair-timeout-ms")
+    if not header.isdigit() or int(header) == 0:
         return route_timeout_ms
-    return min(int(stated), route_timeout_ms)
+    return min(int(header), route_timeout_ms)
 
 
 __all__ = ["AttemptSender", "NaiveContext", "NaiveProxy"]
--- a/benchmarks/naive/runner.py
+++ b/benchmarks/naive/runner.py
@@ -1,4 +1,4 @@
-"""Runs calls on the targets of this VM, from a queue without a limit."""
+"""Runs calls on the targets of this VM, with an unbounded queue."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class _LocalTarget:
-    """The connections and slots of one target."""
+    """The idle connections and the slots of one target."""
 
     def __init__(self, target: Target) -> None:
         self.address = target.address
@@ -33,8 +33,8 @@
         self.slots = asyncio.Semaphore(target.n_slots)
         self.n_in_flight = 0
 
-    async def take(self) -> ClientConnection:
-        """Return a connection that nobody uses, or a new one."""
+    async def acquire_connection(self) -> ClientConnection:
+        """Return an idle connection that is still open, or a new one."""
         while self._idle:
             connection = self._idle.pop()
             if connection.is_reusable:
@@ -45,8 +45,8 @@
         except OSError as error:
             raise _not_run(ErrorKind.TARGET_UNREACHABLE, str(error)) from error
 
-    def give_back(self, connection: ClientConnection) -> None:
-        """Keep a connection whose answer was read to its end."""
+    def release_connection(self, connection: ClientConnection) -> None:
+        """Keep a connection for reuse, or close it if it can't be reused."""
         if connection.is_reusable:
             self._idle.append(connection)
         else:
@@ -59,7 +59,7 @@
 
 
 class NaiveRunner:
-    """Carries a call to a local target, within the target's slots."""
+    """Runs each call on a local target, limited by the target's slots."""
 
     def __init__(self, registry: TargetRegistry) -> None:
         self._registry = registry
@@ -68,7 +68,7 @@
 
     @property
     def n_in_flight(self) -> int:
-        """Return the calls that targets are running now."""
+        """Return the number of calls that the local targets are running."""
         return sum(target.n_in_flight for target in self._targets.values())
 
     async def run(self, head: CallHead, body: BodyBuffer) -> StreamedResponse:
@@ -76,11 +76,11 @@
         target = self._registry.get(head.target, monotonic_ms())
         if target is None:
             raise _not_run(ErrorKind.NO_TARGET, head.target)
-        # The refusal is given here, beside the target: a daemon that has not
-        # heard of the draining yet learns of it without any work being lost.
+        # Other daemons may not have received the draining state yet and still send
+        # calls. They are refused here as not run, so no work is lost.
         if self.is_draining or target.state is TargetState.DRAINING:
             raise _not_run(ErrorKind.DRAINING, head.target)
-        local = self._local(target)
+        local = self._ensure_local_target(target)
         try:
             async with asyncio.timeout(head.time_left_ms / 1000):
                 await local.slots.acquire()
@@ -94,7 +94,7 @@
         for local in self._targets.values():
             local.close()
 
-    def _local(self, target: Target) -> _LocalTarget:
+    def _ensure_local_target(self, target: Target) -> _LocalTarget:
         local = self._targets.get(target.name)
         if local is None or local.address != target.address:
             local = _LocalTarget(target)
@@ -104,11 +104,11 @@
     async def _run_in_slot(
         self, local: _LocalTarget, head: CallHead, body: BodyBuffer
     ) -> StreamedResponse:
-        """Send the request; the slot is held until the answer is read or dropped."""
+        """Send the request and hold the slot until the answer is read or cancelled."""
         try:
-            connection = await local.take()
+            connection = await local.acquire_connection()
         except PepperstairError:
-            _release(local)
+            _release_slot(local)
             raise
         is_ended = False
 
@@ -116,8 +116,8 @@
             nonlocal is_ended
             if not is_ended:
                 is_ended = True
-                _release(local)
-                local.give_back(connection)
+                _release_slot(local)
+                local.release_connection(connection)
 
         try:
             response = await _exchange(connection, head, body)
@@ -148,7 +148,7 @@
         raise PepperstairError(failure) from error
 
 
-def _release(local: _LocalTarget) -> None:
+def _release_slot(local: _LocalTarget) -> None:
     local.n_in_flight -= 1
     local.slots.release()
 
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""Prints what a benchmark measured: the machine, the command and plain tables."""
+"""Prints the report of a benchmark: the command, the machine and plain tables."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def print_run(command: str) -> None:
-    """Print the command, the commit and the facts of the machine."""
+    """Print the command, the commit and a description of the machine."""
     print(f"command  {command}")
     print(f"commit   {_git('rev-parse', '--short', 'HEAD')}{_dirty_mark()}")
     print(f"machine  {describe_machine()}, {_memory_gb():.0f} GB")
@@ -30,7 +30,7 @@
 
 
 def percentile(values: Sequence[float], percent: float) -> float:
-    """Return the value that a share of all values does not exceed.
+    """Return a percentile of the values by the nearest-rank method.
 
     >>> percentile([3.0, 1.0, 2.0], 50)
     2.0
@@ -41,7 +41,7 @@
 
 
 def fitted_line(points: Sequence[tuple[float, float]]) -> tuple[float, float, float]:
-    """Return intercept, slope and greatest residual of a least-squares line.
+    """Return intercept, slope and greatest absolute residual of a least-squares line.
 
     >>> fitted_line([(1, 2), (2, 4), (3, 6)])
     (0.0, 2.0, 0.0)
@@ -72,10 +72,10 @@
 
 
 def _git(*arguments: str) -> str:
-    done = subprocess.run(
+    completed = subprocess.run(
         ["git", *arguments], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    return done.stdout.strip()
+    return completed.stdout.strip()
 
 
 __all__ = ["fitted_line", "percentile", "print_run", "print_table"]
