--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Every target makes what it needs: `make test` on a fresh machine is enough.
+# Every target creates its prerequisites: `make test` works on a fresh machine.
 VENV := .venv
 PYTHON := $(VENV)/bin/python
 PACKAGES := $(wildcard packages/*) platform emulator
--- a/benchmarks/demo.py
+++ b/benchmarks/demo.py
@@ -53,9 +53,7 @@
     print(f"step 1  platform stand-in answers on {fleet.platform}")
     for index, zone in enumerate(("pos-a", "pos-b", "pos-c"), start=1):
         fleet.start_daemon(f"vm-{index}", zone, LABELS)
-    wait_until(
-        lambda: all(is_ready(daemon) for daemon in fleet.daemons), "all daemons ready"
-    )
+    wait_until(lambda: all(is_ready(daemon) for daemon in fleet.daemons), "ready")
     print("step 2  three daemons are ready")
     fleet.start_target(fleet.daemons[1], "ledger", "--name", "ledger-1")
     fleet.start_target(fleet.daemons[2], "vault", "--name", "vault-1")
