--- a/tests/naive/__init__.py
+++ b/tests/naive/__init__.py
@@ -1,3 +1,3 @@
-"""Naive versions that the tests compare decisions with."""
+"""Naive versions of decisions, as baselines for the tests."""
 
 from __future__ import annotations
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,7 +1,7 @@
-"""A randomized soak: real daemons under faults, checked against what was promised.
+"""A randomized soak test: real daemons under faults, checked for their guarantees.
 
-`python -m tests.soak --seeds 1-50` plays seeds by hand; `tests/soak/test_soak.py`
-plays a short one with the other tests, and every seed that ever failed.
+`python -m tests.soak --seeds 1-50` runs seeds by hand. `tests/soak/test_soak.py` runs
+a short soak and every seed that has ever failed, together with the other tests.
 """
 
 from __future__ import annotations
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds of the soak by hand: `python -m tests.soak --seeds 1-50`."""
+"""Runs seeds of the soak by hand: `python -m tests.soak --seeds 1-50`."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from cyclopts import App, Parameter
 
 from .plan import Fault
-from .soak import SoakResult, SoakTerms, play
+from .soak import SoakResult, SoakSettings, run_seed
 
-app = App(help="Play seeds of the soak and say what each has broken.")
+app = App(help="Run seeds of the soak and print the guarantees that each violated.")
 
 
 def iter_seeds(text: str) -> Iterator[int]:
-    """Yield the seeds of a text such as `3,7-9`.
+    """Yield the seeds of a list such as `3,7-9`.
 
     >>> list(iter_seeds("3,7-9"))
     [3, 7, 8, 9]
@@ -30,24 +30,28 @@
 @app.default
 def main(
     seeds: Annotated[str, Parameter(help="Seeds, such as 3,7-9.")] = "1-50",
-    faults_s: Annotated[float, Parameter(help="How long faults go on, in s.")] = 10.0,
-    recover_s: Annotated[float, Parameter(help="Time to recover, in s.")] = 8.0,
-    n_vms: Annotated[int, Parameter(help="VMs, each with its daemon.")] = 6,
+    faults_s: Annotated[
+        float, Parameter(help="Time during which faults begin, in s.")
+    ] = 10.0,
+    recover_s: Annotated[
+        float, Parameter(help="Time allowed for recovery, in s.")
+    ] = 8.0,
+    n_vms: Annotated[int, Parameter(help="Number of VMs, each with one daemon.")] = 6,
     poison: Annotated[
-        bool, Parameter(help="Send requests that crash targets.")
+        bool, Parameter(help="Also send requests that crash targets.")
     ] = False,
 ) -> int:
-    """Play each seed and return 1 if any has broken a promise."""
-    terms = SoakTerms(
+    """Run each seed and return 1 if any violated a guarantee, else 0."""
+    settings = SoakSettings(
         n_vms=n_vms, faults_s=faults_s, recover_s=recover_s, has_poison=poison
     )
-    n_broken = 0
+    n_failed_seeds = 0
     for seed in iter_seeds(seeds):
-        result = asyncio.run(play(seed, terms))
-        n_broken += bool(result.broken)
+        result = asyncio.run(run_seed(seed, settings))
+        n_failed_seeds += bool(result.violations)
         _report(result)
-    print(f"{n_broken} seeds broke a promise")
-    return int(n_broken > 0)
+    print(f"{n_failed_seeds} seeds violated a guarantee")
+    return int(n_failed_seeds > 0)
 
 
 def _report(result: SoakResult) -> None:
@@ -56,15 +60,16 @@
     for answer in history.answers.values():
         statuses[answer.status] = statuses.get(answer.status, 0) + 1
     print(
-        f"seed {result.seed}: {len(result.broken)} broken,"
+        f"seed {result.seed}: {len(result.violations)} violations,"
         f" {len(history.calls)} requests {dict(sorted(statuses.items()))},"
         f" {len(result.plan)} faults, {len(history.versions)} versions,"
-        f" longest own stall {history.longest_stall_s * 1000:.0f} ms",
+        f" longest stall of the soak's event loop"
+        f" {history.longest_stall_s * 1000:.0f} ms",
         flush=True,
     )
-    for broken in result.broken[:10]:
-        print(f"    {broken.promise}: {broken.detail}", flush=True)
-    if result.broken:
+    for violation in result.violations[:10]:
+        print(f"    {violation.guarantee}: {violation.detail}", flush=True)
+    if result.violations:
         print(f"    logs in {result.folder}", flush=True)
         for fault in sorted(result.plan, key=lambda fault: fault.at_s):
             print(f"    {_fault_text(fault)}", flush=True)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers on a VM: they keep connections, open new ones, wait, and leave early."""
+"""Callers on a VM: they reuse or reopen connections, wait, and abandon requests."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from .history import Answer, Call, History, Route
 
 HOST = b"soak.example"
-# What a caller waits beyond the time that it states, to see a late answer as such.
-PATIENCE_S = 2.0
-_LEAVING_SHARE = 0.05
-# Between two requests of one caller, in the mean: at most 90 a second for 18 callers.
+# Time that a caller waits beyond its stated timeout, so that late answers are recorded.
+LATE_ANSWER_WAIT_S = 2.0
+_ABANDONED_SHARE = 0.05
+# Mean pause between two requests of one caller: 18 callers send at most 90 a second.
 PAUSE_S = 0.2
 _BODY_MAX_BYTES = 3_000
 _LARGE_BYTES = 60_000
@@ -29,8 +29,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where a caller sends its requests: a VM and the process there, right now."""
+class OutboundEndpoint:
+    """Where a caller sends its requests: a VM's daemon and the number of its process.
+
+    `process` returns the number of the process that runs now.
+    """
 
     vm: str
     address: str
@@ -38,35 +41,35 @@
 
 
 class Caller:
-    """One caller; it keeps its connection unless `is_fresh`.
+    """One caller, which reuses its connection unless `is_reconnecting`.
 
-    `pause_s` is how long it waits between its requests, `routes` what the newest
-    version lets it ask for.
+    `pause_s` is its mean pause between requests, and `routes` returns the routes of
+    the newest version.
     """
 
     def __init__(
         self,
         name: str,
-        place: Place,
+        endpoint: OutboundEndpoint,
         history: History,
         routes: Callable[[], list[Route]],
         rng: random.Random,
         now_s: Callable[[], float],
         *,
-        is_fresh: bool,
+        is_reconnecting: bool,
     ) -> None:
         self._name = name
-        self._place = place
+        self._endpoint = endpoint
         self._history = history
         self._routes = routes
         self._rng = rng
         self._now_s = now_s
-        self._is_fresh = is_fresh
+        self._is_reconnecting = is_reconnecting
         self._connection: ClientConnection | None = None
         self.pause_s = PAUSE_S
 
     async def run(self) -> None:
-        """Send one request after the other, for ever."""
+        """Send one request after another until cancelled."""
         number = 0
         while True:
             number += 1
@@ -76,29 +79,29 @@
     async def _call(self, request_id: str) -> None:
         call, body = self._draw(request_id)
         self._history.calls[request_id] = call
-        is_leaving = self._rng.random() < _LEAVING_SHARE
-        patience_s = call.timeout_s + PATIENCE_S
-        if is_leaving:
-            patience_s = self._rng.uniform(0.01, 0.1)
+        is_abandoned = self._rng.random() < _ABANDONED_SHARE
+        wait_s = call.timeout_s + LATE_ANSWER_WAIT_S
+        if is_abandoned:
+            wait_s = self._rng.uniform(0.01, 0.1)
         try:
-            async with asyncio.timeout(patience_s):
-                answer = await self._ask(call, body)
+            async with asyncio.timeout(wait_s):
+                answer = await self._exchange(call, body)
         except TimeoutError:
-            self._drop()
-            answer = Answer(0, b"", "", self._now_s(), is_abandoned=is_leaving)
+            self._close_connection()
+            answer = Answer(0, b"", "", self._now_s(), is_abandoned=is_abandoned)
         except (OSError, ConnectionLostError):
-            self._drop()
+            self._close_connection()
             answer = Answer(0, b"", "", self._now_s())
         self._history.answers[request_id] = answer
 
     def _draw(self, request_id: str) -> tuple[Call, bytes]:
         route = self._rng.choice(self._routes())
         return draw_call(
-            request_id, self._place, route, self._rng, _BODY_MAX_BYTES, self._now_s()
+            request_id, self._endpoint, route, self._rng, _BODY_MAX_BYTES, self._now_s()
         )
 
-    async def _ask(self, call: Call, body: bytes) -> Answer:
-        connection = await self._open()
+    async def _exchange(self, call: Call, body: bytes) -> Answer:
+        connection = await self._usable_connection()
         headers = [
             (b"host", HOST),
             (b"x-request-id", call.request_id.encode()),
@@ -113,19 +116,19 @@
         content = await connection.body.read_all(10_000_000)
         signature = header_value(head.headers, b"x-response-signature").decode()
         answer = Answer(head.status, content, signature, self._now_s())
-        if self._is_fresh:
-            self._drop()
+        if self._is_reconnecting:
+            self._close_connection()
         return answer
 
-    async def _open(self) -> ClientConnection:
-        """Return the kept connection, for as long as it can be used."""
+    async def _usable_connection(self) -> ClientConnection:
+        """Return the kept connection, or a new one if it can not be reused."""
         if self._connection is None or not self._connection.is_reusable:
-            self._drop()
-            host, _, port = self._place.address.partition(":")
+            self._close_connection()
+            host, _, port = self._endpoint.address.partition(":")
             self._connection = await connect(host, int(port))
         return self._connection
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         if self._connection is not None:
             self._connection.close()
             self._connection = None
@@ -133,21 +136,21 @@
 
 def draw_call(
     request_id: str,
-    place: Place,
+    endpoint: OutboundEndpoint,
     route: Route,
     rng: random.Random,
     body_max_bytes: int,
     now_s: float,
 ) -> tuple[Call, bytes]:
-    """Return a request for a route and its body, empty where it may be repeated."""
+    """Return a drawn request for a route, and its body, empty if it is idempotent."""
     n_bytes = _LARGE_BYTES if "maps" in route.prefix else _SMALL_BYTES
     body = b""
     if not route.is_idempotent:
         body = rng.randbytes(rng.randrange(body_max_bytes))
     call = Call(
         request_id=request_id,
-        vm=place.vm,
-        process=place.process(),
+        vm=endpoint.vm,
+        process=endpoint.process(),
         path=f"{route.prefix}{rng.randrange(1000)}/{n_bytes}",
         prefix=route.prefix,
         digest=hashlib.sha256(body).hexdigest(),
@@ -160,9 +163,9 @@
 
 __all__ = [
     "HOST",
-    "PATIENCE_S",
+    "LATE_ANSWER_WAIT_S",
     "PAUSE_S",
     "Caller",
-    "Place",
+    "OutboundEndpoint",
     "draw_call",
 ]
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,7 +1,7 @@
-"""What the users were promised, as functions from a history to what broke it.
+"""The guarantees to users, as functions that yield their violations in a history.
 
-Times have slack for the longest stall of the soak's own event loop, which the
-history holds: what the soak itself saw late is no proof against a daemon.
+Time limits are extended by the longest stall of the soak's own event loop, which the
+history holds: what the soak itself observed late is no evidence against a daemon.
 """
 
 from __future__ import annotations
@@ -12,111 +12,122 @@
 
 from .history import Arrival, Call, History, Version
 
-# Statuses that promise: it has not run and never will.
+# Statuses that state that the request has not run and never will.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 NO_ROUTE_STATUS = 404
-DRAIN_S = 2.0
-APPLY_S = 2.0
-CALM_S = 3.0
-REGRESS_S = 0.25
-LATE_ANSWER_S = 0.5
-CUT_SLACK_S = 0.2
-N_LATE_MAX = 3
-N_CUT_MAX = 0
-RECOVERED_SHARE = 0.9
-# A connection that a daemon has closed may take a moment to be seen as such by the
-# instance, whose next request has arrived meanwhile.
-N_CLOSING_MAX = 2
-N_POISONED_MAX = 3
-N_POISONED_LATE_MAX = 3
+DEPARTURE_SLACK_S = 2.0
+APPLY_MAX_S = 2.0
+UNDISTURBED_S = 3.0
+REGRESSION_SLACK_S = 0.25
+ANSWER_SLACK_S = 0.5
+READ_SLACK_S = 0.2
+N_LATE_ANSWERS_MAX = 3
+N_LOST_MAX = 0
+RECOVERED_SHARE_MIN = 0.9
+# An instance may notice late that a daemon has closed a connection, and meanwhile have
+# received the next request, so that it counts more requests than it has slots.
+N_CLOSING_CONNECTIONS_MAX = 2
+N_POISON_CRASHES = 3
+N_LATE_POISON_RUNS_MAX = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
-    """A promise that was broken, and how one sees it."""
+class Violation:
+    """A violated guarantee and the observation that shows it."""
 
-    promise: str
+    guarantee: str
     detail: str
 
 
-Check = Callable[[History], Iterator[Broken]]
+Check = Callable[[History], Iterator[Violation]]
 
 
 def answer_body(request_id: str, n_bytes: int) -> bytes:
-    """Return the body that an instance answers a request with."""
+    """Return the body of `n_bytes` with which an instance answers a request."""
     seed = hashlib.sha256(request_id.encode()).hexdigest().encode()
     return (seed * (n_bytes // len(seed) + 1))[:n_bytes]
 
 
-def iter_mixed(history: History) -> Iterator[Broken]:
-    """Yield successes that are not the instance's whole answer to that request."""
+def iter_foreign_answers(history: History) -> Iterator[Violation]:
+    """Yield 2xx answers that no instance gave to that request."""
     for request_id, answer in history.answers.items():
         if not 200 <= answer.status < 300:
             continue
         if answer.signature != f"signed-{request_id}":
-            yield Broken("own answer", f"{request_id}: signature {answer.signature!r}")
+            yield Violation(
+                "answer to own request", f"{request_id}: signature {answer.signature!r}"
+            )
         if answer.body != answer_body(request_id, len(answer.body)):
-            yield Broken("own answer", f"{request_id}: another body")
+            yield Violation(
+                "answer to own request", f"{request_id}: body of another answer"
+            )
         if not history.arrivals[request_id]:
-            yield Broken("own answer", f"{request_id}: 200 and ran nowhere")
+            yield Violation(
+                "answer to own request", f"{request_id}: 200, but no instance ran it"
+            )
 
 
-def iter_cut_bodies(history: History) -> Iterator[Broken]:
-    """Yield successes with fewer bytes than their path asks for."""
+def iter_truncated_bodies(history: History) -> Iterator[Violation]:
+    """Yield 2xx answers that do not have the number of bytes that their path states."""
     for request_id, answer in history.answers.items():
         call = history.calls[request_id]
         expected = int(call.path.rpartition("/")[2])
         if 200 <= answer.status < 300 and len(answer.body) != expected:
             detail = f"{request_id}: {len(answer.body)} bytes of {expected}"
-            yield Broken("whole answer", detail)
+            yield Violation("complete answer", detail)
 
 
-def iter_unasked(history: History) -> Iterator[Broken]:
-    """Yield runs of what no caller sent, or of what was changed on the way."""
+def iter_unsent_or_altered(history: History) -> Iterator[Violation]:
+    """Yield runs of requests that no caller sent, or that were altered on the way."""
     for request_id, arrivals in history.arrivals.items():
         call = history.calls.get(request_id)
         for arrival in arrivals:
             if call is None:
-                yield Broken("asked for", f"{request_id!r} was sent by nobody")
+                yield Violation(
+                    "sent by a caller", f"{request_id!r} was sent by no caller"
+                )
                 continue
             sent = (call.path, call.digest, history.services[call.vm])
             if (arrival.path, arrival.digest, arrival.caller_service) != sent:
-                yield Broken("unchanged", f"{request_id}: {arrival} for {call}")
+                yield Violation(
+                    "unchanged", f"{request_id}: received {arrival}, sent {call}"
+                )
 
 
-def iter_twice(history: History) -> Iterator[Broken]:
-    """Yield requests that must not be repeated and ran more than once."""
+def iter_repeated_runs(history: History) -> Iterator[Violation]:
+    """Yield non-idempotent requests that ran more than once."""
     for request_id, call in history.calls.items():
         arrivals = history.arrivals[request_id]
         if not call.is_idempotent and len(arrivals) > 1:
-            yield Broken("at most once", f"{request_id} ran {len(arrivals)} times")
+            yield Violation("at most once", f"{request_id} ran {len(arrivals)} times")
 
 
-def iter_run_unread(history: History) -> Iterator[Broken]:
-    """Yield requests that ran behind a closing answer and may run once only.
+def iter_runs_of_unread(history: History) -> Iterator[Violation]:
+    """Yield non-idempotent requests that ran despite a closing answer.
 
-    Their callers hold them for unread and send them again.
+    They follow an answer that closes their connection, so their callers take them for
+    unread and send them again.
     """
     for request_id, answer in history.answers.items():
         call = history.calls[request_id]
         if call.is_idempotent or not answer.is_unread:
             continue
         if history.arrivals[request_id]:
-            yield Broken("unread", f"{request_id} ran behind a closing answer")
+            yield Violation("unread", f"{request_id} ran despite a closing answer")
 
 
-def iter_false_refusals(history: History) -> Iterator[Broken]:
-    """Yield requests of which it was said that they did not run, and that ran."""
+def iter_false_refusals(history: History) -> Iterator[Violation]:
+    """Yield non-idempotent requests that were refused as not run, but ran."""
     for request_id, call in history.calls.items():
         answer = history.answers.get(request_id)
         if answer is None or call.is_idempotent:
             continue
         if answer.status in NOT_RUN_STATUSES and history.arrivals[request_id]:
-            yield Broken("not run", f"{request_id}: {answer.status}, and it ran")
+            yield Violation("not run", f"{request_id}: {answer.status}, but it ran")
 
 
-def iter_over_attempts(history: History) -> Iterator[Broken]:
-    """Yield requests that ran on more instances than their route allows."""
+def iter_excess_attempts(history: History) -> Iterator[Violation]:
+    """Yield requests that reached instances more often than their route allows."""
     allowed = {
         route.prefix: route.n_attempts
         for version in history.versions
@@ -125,36 +136,45 @@
     for request_id, call in history.calls.items():
         n_arrivals = len(history.arrivals[request_id])
         if n_arrivals > allowed.get(call.prefix, 1):
-            yield Broken("attempts", f"{request_id}: {n_arrivals} instances")
+            yield Violation(
+                "attempts", f"{request_id}: {n_arrivals} arrivals at instances"
+            )
 
 
-def iter_over_slots(history: History) -> Iterator[Broken]:
-    """Yield instances that were given more at once than they have slots."""
+def iter_excess_concurrency(history: History) -> Iterator[Violation]:
+    """Yield instances that received more requests at once than they have slots."""
     for arrivals in history.arrivals.values():
         for arrival in arrivals:
-            allowed = history.slots[arrival.instance] + N_CLOSING_MAX
-            is_calm = history.is_calm(arrival.vm, arrival.at_s - CALM_S, arrival.at_s)
-            if is_calm and arrival.n_running > allowed:
-                yield Broken("slots", f"{arrival.instance}: {arrival.n_running}")
-
-
-def iter_after_leaving(history: History) -> Iterator[Broken]:
-    """Yield requests that reached an instance long after its leaving was known."""
-    slack_s = DRAIN_S + history.longest_stall_s
+            allowed = history.slots[arrival.instance] + N_CLOSING_CONNECTIONS_MAX
+            is_undisturbed = history.is_undisturbed(
+                arrival.vm, arrival.at_s - UNDISTURBED_S, arrival.at_s
+            )
+            if is_undisturbed and arrival.n_running > allowed:
+                yield Violation(
+                    "slots", f"{arrival.instance}: {arrival.n_running} at once"
+                )
+
+
+def iter_runs_after_departure(history: History) -> Iterator[Violation]:
+    """Yield requests that reached an instance long after its departure was known."""
+    slack_s = DEPARTURE_SLACK_S + history.longest_stall_s
     for request_id, arrivals in history.arrivals.items():
         for arrival in arrivals:
-            leaving = history.leavings.get(arrival.instance)
-            if leaving is None or arrival.at_s <= leaving.at_s + slack_s:
+            departure = history.departures.get(arrival.instance)
+            if departure is None or arrival.at_s <= departure.at_s + slack_s:
                 continue
-            if _was_held_up(history, arrival, request_id):
+            if _was_delayed(history, arrival, request_id):
                 continue
-            late_s = arrival.at_s - leaving.at_s
-            yield Broken("drain", f"{request_id} at {arrival.instance}, {late_s:.1f} s")
+            late_s = arrival.at_s - departure.at_s
+            yield Violation(
+                "drain",
+                f"{request_id} at {arrival.instance}, {late_s:.1f} s after departure",
+            )
 
 
-def _was_held_up(history: History, arrival: Arrival, request_id: str) -> bool:
-    """Return whether a link or a process on the way stood still just before."""
-    from_s = arrival.at_s - CALM_S
+def _was_delayed(history: History, arrival: Arrival, request_id: str) -> bool:
+    """Return whether a faulty link or paused process may have delayed a request."""
+    from_s = arrival.at_s - UNDISTURBED_S
     call = history.calls.get(request_id)
     ends = {arrival.vm, call.vm if call is not None else arrival.vm}
     return any(
@@ -166,22 +186,22 @@
     )
 
 
-def iter_wrong_service(history: History) -> Iterator[Broken]:
-    """Yield runs by a service that no version lets the request go to."""
+def iter_wrong_service(history: History) -> Iterator[Violation]:
+    """Yield requests that ran on a service to which no version routes them."""
     for request_id, call in history.calls.items():
         for arrival in history.arrivals[request_id]:
-            if not _versions_of(history.versions, call.prefix, arrival.service):
+            if not _versions_routing(history.versions, call.prefix, arrival.service):
                 detail = f"{request_id} {call.prefix} at {arrival.service}"
-                yield Broken("route", f"{detail}, which no version says")
+                yield Violation("route", f"{detail}, to which no version routes it")
 
 
-def iter_stale(history: History) -> Iterator[Broken]:
-    """Yield requests that were handled as only an outdated version allows."""
-    slack_s = APPLY_S + history.longest_stall_s
-    for call, allowed, at_s in _iter_handled(history):
-        from_s = call.sent_s - CALM_S
-        is_calm = history.is_calm(call.vm, from_s, at_s)
-        if not is_calm or not history.is_store_calm(from_s, call.sent_s):
+def iter_outdated_versions(history: History) -> Iterator[Violation]:
+    """Yield requests that were routed as only an outdated version allows."""
+    slack_s = APPLY_MAX_S + history.longest_stall_s
+    for call, allowed, at_s in _iter_routed_calls(history):
+        from_s = call.sent_s - UNDISTURBED_S
+        is_undisturbed = history.is_undisturbed(call.vm, from_s, at_s)
+        if not is_undisturbed or not history.is_store_undisturbed(from_s, call.sent_s):
             continue
         known_s = call.sent_s - slack_s
         floor = max(
@@ -189,22 +209,23 @@
             default=0,
         )
         if max(allowed) < floor:
-            detail = f"{call.request_id} by version {max(allowed)}, {floor} was due"
-            yield Broken("in force", f"{detail} on {call.vm}")
+            detail = f"{call.request_id} by version {max(allowed)}, but {floor} was due"
+            yield Violation("in force", f"{detail} on {call.vm}")
 
 
-def iter_regressions(history: History) -> Iterator[Broken]:
-    """Yield requests that were handled by an older version than one seen before.
+def iter_version_regressions(history: History) -> Iterator[Violation]:
+    """Yield requests that were routed by an older version than an earlier request.
 
-    Only within one process of a daemon; another one may have to catch up.
+    Only requests to the same daemon process are compared: another process may still
+    have to catch up.
     """
-    handled = list(_iter_handled(history))
-    slack_s = REGRESS_S + history.longest_stall_s
-    for call, allowed, _ in handled:
+    routed_calls = list(_iter_routed_calls(history))
+    slack_s = REGRESSION_SLACK_S + history.longest_stall_s
+    for call, allowed, _ in routed_calls:
         floor = max(
             (
-                min(seen)
-                for other, seen, at_s in handled
+                min(other_allowed)
+                for other, other_allowed, at_s in routed_calls
                 if (other.vm, other.process) == (call.vm, call.process)
                 and at_s + slack_s < call.sent_s
             ),
@@ -212,13 +233,14 @@
         )
         if max(allowed) < floor:
             detail = f"{call.request_id} by version {max(allowed)} after {floor}"
-            yield Broken("never back", f"{detail} on {call.vm}")
+            yield Violation("no version regression", f"{detail} on {call.vm}")
 
 
-def _iter_handled(history: History) -> Iterator[tuple[Call, list[int], float]]:
-    """Yield the requests whose fate tells something of the version in force.
+def _iter_routed_calls(history: History) -> Iterator[tuple[Call, list[int], float]]:
+    """Yield the requests whose outcome shows which versions may have been in force.
 
-    With each come the versions that allow this fate, and when it was seen.
+    Each comes with the numbers of the versions that allow this outcome, and with the
+    time at which it was observed.
     """
     for request_id, call in history.calls.items():
         answer = history.answers.get(request_id)
@@ -229,12 +251,12 @@
             service, at_s = "", answer.at_s
         else:
             continue
-        if allowed := _versions_of(history.versions, call.prefix, service):
+        if allowed := _versions_routing(history.versions, call.prefix, service):
             yield call, allowed, at_s
 
 
-def _versions_of(versions: list[Version], prefix: str, service: str) -> list[int]:
-    """Return the versions that route a prefix to a service, or nowhere for ""."""
+def _versions_routing(versions: list[Version], prefix: str, service: str) -> list[int]:
+    """Return the versions that route a prefix to a service; "" means no route."""
     return [
         version.number
         for version in versions
@@ -243,20 +265,25 @@
     ]
 
 
-def iter_denied(history: History) -> Iterator[Broken]:
-    """Yield refusals of the caller's own fault for what every version allows."""
+def iter_unfounded_denials(history: History) -> Iterator[Violation]:
+    """Yield 3xx and 4xx answers to requests that every version routes.
+
+    Statuses that state that a request has not run are allowed.
+    """
     for request_id, answer in history.answers.items():
         call = history.calls[request_id]
-        is_denied = 300 <= answer.status < 500 and answer.status not in NOT_RUN_STATUSES
-        if not is_denied:
+        is_refused = (
+            300 <= answer.status < 500 and answer.status not in NOT_RUN_STATUSES
+        )
+        if not is_refused:
             continue
         if all(call.prefix in version.routes for version in history.versions):
-            yield Broken("denied", f"{request_id} {call.prefix}: {answer.status}")
+            yield Violation("denied", f"{request_id} {call.prefix}: {answer.status}")
 
 
-def iter_late_answers(history: History) -> Iterator[Broken]:
-    """Yield requests left without an answer half a second past their time."""
-    slack_s = LATE_ANSWER_S + history.longest_stall_s
+def iter_late_answers(history: History) -> Iterator[Violation]:
+    """Yield a violation if too many answers are missing or over half a second late."""
+    slack_s = ANSWER_SLACK_S + history.longest_stall_s
     late = []
     for request_id, call in history.calls.items():
         due_s = call.sent_s + call.timeout_s + slack_s
@@ -264,92 +291,100 @@
         if due_s > history.ended_s:
             continue
         is_late = answer is None or (answer.at_s > due_s and not answer.is_abandoned)
-        if is_late and history.is_calm(call.vm, call.sent_s - CALM_S, due_s):
+        if is_late and history.is_undisturbed(
+            call.vm, call.sent_s - UNDISTURBED_S, due_s
+        ):
             late.append(request_id)
-    if len(late) > N_LATE_MAX:
-        yield Broken("answered in time", f"{len(late)} were not, as {late[:3]}")
+    if len(late) > N_LATE_ANSWERS_MAX:
+        yield Violation("answered in time", f"{len(late)} were not, such as {late[:3]}")
 
 
-def iter_cut_by_planned_work(history: History) -> Iterator[Broken]:
-    """Yield requests that lost their connection while only planned work went on."""
-    cut = []
-    slack_s = CUT_SLACK_S + history.longest_stall_s
+def iter_lost_by_planned_work(history: History) -> Iterator[Violation]:
+    """Yield a violation if requests lost their connection during planned work only."""
+    lost = []
+    slack_s = READ_SLACK_S + history.longest_stall_s
     for request_id, answer in history.answers.items():
         call = history.calls[request_id]
         if answer.status or answer.is_abandoned:
             continue
-        was_passed_on = bool(history.arrivals[request_id])
-        was_read = was_passed_on or answer.at_s > call.sent_s + slack_s
-        is_planned = history.is_all_planned(call.sent_s - CALM_S, answer.at_s)
+        was_forwarded = bool(history.arrivals[request_id])
+        was_read = was_forwarded or answer.at_s > call.sent_s + slack_s
+        is_planned = history.is_only_planned_work(
+            call.sent_s - UNDISTURBED_S, answer.at_s
+        )
         if was_read and is_planned and answer.at_s < call.sent_s + call.timeout_s:
-            cut.append(request_id)
-    if len(cut) > N_CUT_MAX:
-        yield Broken("stops cut nothing", f"{len(cut)} were cut, as {cut[:3]}")
+            lost.append(request_id)
+    if len(lost) > N_LOST_MAX:
+        yield Violation(
+            "no loss by planned work", f"{len(lost)} were lost, such as {lost[:3]}"
+        )
 
 
-def iter_not_recovered(history: History) -> Iterator[Broken]:
-    """Yield that too few requests are served once everything is well again."""
-    from_s = history.healed_s + history.recover_s
-    late = [
+def iter_not_recovered(history: History) -> Iterator[Violation]:
+    """Yield a violation if too few requests are served after the recovery time."""
+    from_s = history.faults_ended_s + history.recover_s
+    calls = [
         call
         for call in history.calls.values()
         if call.sent_s >= from_s and not call.is_poison
     ]
-    found = [history.answers.get(call.request_id) for call in late]
-    answers = [item for item in found if item is not None and not item.is_abandoned]
+    received = [history.answers.get(call.request_id) for call in calls]
+    answers = [item for item in received if item is not None and not item.is_abandoned]
     n_served = sum(item.status == 200 for item in answers)
-    if not answers or n_served < RECOVERED_SHARE * len(answers):
-        yield Broken("recovers", f"{n_served} of {len(answers)} served afterwards")
+    if not answers or n_served < RECOVERED_SHARE_MIN * len(answers):
+        yield Violation(
+            "recovers", f"{n_served} of {len(answers)} served after recovery"
+        )
 
 
-def iter_poisoned(history: History) -> Iterator[Broken]:
-    """Yield that a request ran on, long after three instances had ended under it."""
-    if len(history.poisoned_s) < N_POISONED_MAX:
+def iter_late_poison_runs(history: History) -> Iterator[Violation]:
+    """Yield a violation if a request runs long after it has crashed three instances."""
+    if len(history.poison_crashes_s) < N_POISON_CRASHES:
         return
-    known_s = sorted(history.poisoned_s)[N_POISONED_MAX - 1]
-    from_s = known_s + CALM_S + history.longest_stall_s
+    known_s = sorted(history.poison_crashes_s)[N_POISON_CRASHES - 1]
+    from_s = known_s + UNDISTURBED_S + history.longest_stall_s
     late = [
         request_id
         for request_id, call in history.calls.items()
         if call.is_poison and call.sent_s >= from_s
         for arrival in history.arrivals[request_id]
-        if history.is_calm(call.vm, call.sent_s - CALM_S, call.sent_s)
-        if history.is_store_calm(call.sent_s - CALM_S, call.sent_s)
+        if history.is_undisturbed(call.vm, call.sent_s - UNDISTURBED_S, call.sent_s)
+        if history.is_store_undisturbed(call.sent_s - UNDISTURBED_S, call.sent_s)
     ]
-    if len(late) > N_POISONED_LATE_MAX:
-        yield Broken("poison", f"{len(late)} runs too late, as {late[:3]}")
+    if len(late) > N_LATE_POISON_RUNS_MAX:
+        yield Violation("poison", f"{len(late)} runs too late, such as {late[:3]}")
 
 
 ALL_CHECKS: tuple[Check, ...] = (
-    iter_mixed,
-    iter_cut_bodies,
-    iter_unasked,
-    iter_twice,
-    iter_run_unread,
+    iter_foreign_answers,
+    iter_truncated_bodies,
+    iter_unsent_or_altered,
+    iter_repeated_runs,
+    iter_runs_of_unread,
     iter_false_refusals,
-    iter_over_attempts,
-    iter_over_slots,
-    iter_after_leaving,
+    iter_excess_attempts,
+    iter_excess_concurrency,
+    iter_runs_after_departure,
     iter_wrong_service,
-    iter_stale,
-    iter_regressions,
-    iter_denied,
+    iter_outdated_versions,
+    iter_version_regressions,
+    iter_unfounded_denials,
     iter_late_answers,
-    iter_cut_by_planned_work,
+    iter_lost_by_planned_work,
     iter_not_recovered,
-    iter_poisoned,
+    iter_late_poison_runs,
 )
 
 
-def iter_broken(history: History) -> Iterator[Broken]:
-    """Yield every promise that a history breaks.
+def iter_violations(history: History) -> Iterator[Violation]:
+    """Yield every violation of a guarantee in a history.
 
-    >>> history = History(healed_s=-100.0)
-    >>> [broken.promise for broken in iter_broken(history)]
+    >>> history = History(faults_ended_s=-100.0)
+    >>> [violation.guarantee for violation in iter_violations(history)]
     ['recovers']
     """
     for check in ALL_CHECKS:
         yield from check(history)
 
 
-__all__ = ["ALL_CHECKS", "Broken", "answer_body", "iter_broken"]
+__all__ = ["ALL_CHECKS", "Violation", "answer_body", "iter_violations"]
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -1,4 +1,4 @@
-"""What callers, instances and the operator saw in a run; times are in seconds."""
+"""What callers, instances and the operator observed in a run; times are in seconds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A route as one version has it."""
+    """A route of one version of the configuration."""
 
     prefix: str
     service: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request as its caller sent it; `digest` stands for its body."""
+    """A request as its caller sent it; `digest` is that of its body."""
 
     request_id: str
     vm: str
@@ -44,10 +44,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a caller was told; status 0 for a connection that ended without.
+    """What a caller received; status 0 if the connection ended without an answer.
 
-    `is_unread` says that the request stood behind an answer that closed its
-    connection.
+    `is_unread` means that the request followed an answer that closed its connection.
     """
 
     status: int
@@ -60,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request as an instance got it, at the moment it began to run it."""
+    """A request as an instance received it, at the moment when it began to run."""
 
     request_id: str
     instance: str
@@ -74,8 +73,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
-    """That a daemon acknowledged an instance's leaving."""
+class Departure:
+    """A daemon's acknowledgement of the departure of an instance."""
 
     instance: str
     vm: str
@@ -84,9 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Disturbance:
-    """A fault of one VM or, with an empty name, of the store.
+    """A period in which a fault affects one VM or, if `vm` is empty, the store.
 
-    `is_planned` says that only signals were sent that a process may expect.
+    `is_planned` means that it is planned work, such as a signal that a process has to
+    expect.
     """
 
     vm: str
@@ -98,7 +98,7 @@
 
 @dataclass
 class History:
-    """Everything that was seen, in the order of time."""
+    """Everything that was observed in a run, in the order of time."""
 
     services: dict[str, str] = field(default_factory=dict)
     versions: list[Version] = field(default_factory=list)
@@ -107,29 +107,29 @@
     arrivals: dict[str, list[Arrival]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    # When an instance ended under a poison request.
-    poisoned_s: list[float] = field(default_factory=list)
-    leavings: dict[str, Leaving] = field(default_factory=dict)
+    # Times at which a poison request crashed an instance.
+    poison_crashes_s: list[float] = field(default_factory=list)
+    departures: dict[str, Departure] = field(default_factory=dict)
     disturbances: list[Disturbance] = field(default_factory=list)
     slots: dict[str, int] = field(default_factory=dict)
-    healed_s: float = 0.0
+    faults_ended_s: float = 0.0
     ended_s: float = float("inf")
     recover_s: float = 0.0
     longest_stall_s: float = 0.0
 
-    def is_calm(self, vm: str, from_s: float, to_s: float) -> bool:
-        """Return whether nothing disturbed a VM in a span of time."""
+    def is_undisturbed(self, vm: str, from_s: float, to_s: float) -> bool:
+        """Return whether no disturbance of a VM overlaps a period."""
         return not any(
             item.vm == vm and item.from_s <= to_s and item.to_s >= from_s
             for item in self.disturbances
         )
 
-    def is_store_calm(self, from_s: float, to_s: float) -> bool:
-        """Return whether nothing disturbed the store in a span of time."""
-        return self.is_calm("", from_s, to_s)
+    def is_store_undisturbed(self, from_s: float, to_s: float) -> bool:
+        """Return whether no disturbance of the store overlaps a period."""
+        return self.is_undisturbed("", from_s, to_s)
 
-    def is_all_planned(self, from_s: float, to_s: float) -> bool:
-        """Return whether only planned work disturbed anything in a span of time."""
+    def is_only_planned_work(self, from_s: float, to_s: float) -> bool:
+        """Return whether all disturbances that overlap a period are planned work."""
         return not any(
             item.from_s <= to_s and item.to_s >= from_s and not item.is_planned
             for item in self.disturbances
@@ -142,7 +142,7 @@
     "Call",
     "Disturbance",
     "History",
-    "Leaving",
+    "Departure",
     "Route",
     "Version",
 ]
--- a/tests/soak/instance.py
+++ b/tests/soak/instance.py
@@ -1,4 +1,4 @@
-"""An instance of a service beside a daemon, with all that may go wrong with one."""
+"""An instance of a service on the VM of a daemon, with the faults of instances."""
 
 from __future__ import annotations
 
@@ -18,22 +18,26 @@
 )
 
 from .checks import answer_body
-from .history import Arrival, Disturbance, History, Leaving
+from .history import Arrival, Departure, Disturbance, History
 from .poison import POISON_PATH
 
-_HEARTBEAT_S = 1.0
-_RETRY_S = 0.2
-_ANSWER_S = 1.0
+_HEARTBEAT_INTERVAL_S = 1.0
+_RETRY_PAUSE_S = 0.2
+_ANSWER_TIMEOUT_S = 1.0
 _WORK_MIN_S = 0.01
 _WORK_MAX_S = 0.06
 _SLOW_FACTOR = 10.0
-_STAY_S = 3.0
-_SUCCESSOR_S = 2.2
+_SERVE_ON_S = 3.0
+_REPLACEMENT_DELAY_S = 2.2
 N_SLOTS = 4
 
 
 class Instance:
-    """One address where instances of a service live, one after the other."""
+    """One address at which instances of a service run, one after another.
+
+    Each takes `work_factor` times the usual time, and breaks the connection of the
+    `garbled_share` of its requests.
+    """
 
     def __init__(
         self,
@@ -53,18 +57,18 @@
         self._sequence = 0
         self._state = "ready"
         self._server: HttpServer | None = None
-        self._beating: asyncio.Task[None] | None = None
-        self._is_changing = False
-        self._poisoning: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
+        self._is_replacing = False
+        self._crash_task: asyncio.Task[None] | None = None
         self._port = 0
         self.address = ""
         self.heartbeat_address = ""
         self.name = ""
-        self.slowness = 1.0
+        self.work_factor = 1.0
         self.garbled_share = 0.0
 
     async def start(self, port: int = 0) -> int:
-        """Start an instance with a new name and return its port."""
+        """Start an instance under a new name and return its port."""
         self._n_starts += 1
         self.name = f"i-{self._vm}-{self._n_starts}"
         self._sequence = 0
@@ -75,104 +79,109 @@
         return self._port
 
     def announce(self) -> None:
-        """Begin to send heartbeats."""
-        self._beating = asyncio.get_running_loop().create_task(self._beat())
+        """Start to send heartbeats."""
+        self._heartbeat_task = asyncio.get_running_loop().create_task(
+            self._send_heartbeats()
+        )
 
     def stop(self) -> None:
-        """End at once, as a crash would."""
-        if self._beating is not None:
-            self._beating.cancel()
-        self.stop_connections()
+        """End at once, as in a crash."""
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
+        self.abort_connections()
         self._server.close()
         self._n_running = 0
 
-    def stop_connections(self) -> None:
-        """Break every connection, whatever runs on it."""
+    def abort_connections(self) -> None:
+        """Abort every connection with the requests on it."""
         for connection in list(self._server.connections):
             connection.abort()
 
     async def crash(self, for_s: float) -> None:
-        """Crash without a sign, and start again under another name."""
-        if self._is_changing:
+        """Crash without notice, and start a replacement under another name."""
+        if self._is_replacing:
             return
-        self._is_changing = True
+        self._is_replacing = True
         self.stop()
-        await asyncio.sleep(max(for_s, _SUCCESSOR_S))
-        await self._start_again()
-
-    async def _end_under_poison(self) -> None:
-        """Crash, as the request that runs makes every instance do."""
-        if self._is_changing:
-            # The instance that leaves, or its successor, ends by itself.
-            self.stop_connections()
+        await asyncio.sleep(max(for_s, _REPLACEMENT_DELAY_S))
+        await self._start_replacement()
+
+    async def _crash_by_poison(self) -> None:
+        """Crash because of a poison request, as every instance that runs it does."""
+        if self._is_replacing:
+            # The instance is already departing or being replaced, so it ends anyway.
+            self.abort_connections()
             return
         from_s = self._now_s()
-        self._history.poisoned_s.append(from_s)
+        self._history.poison_crashes_s.append(from_s)
         await self.crash(0.0)
         ended = Disturbance(self._vm, "poisoned", from_s, self._now_s())
         self._history.disturbances.append(ended)
 
-    async def leave(self, *, is_abrupt: bool) -> None:
-        """Say that it leaves, serve on for a while and end; another one follows.
+    async def depart(self, *, is_abrupt: bool) -> None:
+        """Announce the departure, serve for a while, end and start a replacement.
 
-        One heartbeat from before arrives late, as if it had been delayed.
+        One earlier heartbeat arrives late, as if the network had delayed it. If
+        `is_abrupt`, the instance deregisters at once instead of draining first.
         """
-        if self._is_changing:
+        if self._is_replacing:
             return
-        self._is_changing = True
-        held_up = self._heartbeat()
+        self._is_replacing = True
+        delayed_heartbeat = self._next_heartbeat()
         self._state = "draining"
         if is_abrupt:
-            self._beating.cancel()
-            await self._say_until_heard(f"/Instances.Deregister/{self.name}", b"")
+            self._heartbeat_task.cancel()
+            await self._post_until_accepted(f"/Instances.Deregister/{self.name}", b"")
         else:
-            await self._say_until_heard(*self._heartbeat())
-        heard = Leaving(self.name, self._vm, self._now_s())
-        self._history.leavings[self.name] = heard
-        await asyncio.sleep(_STAY_S * self._rng.random())
-        await self._say(*held_up)
-        await asyncio.sleep(_STAY_S)
+            await self._post_until_accepted(*self._next_heartbeat())
+        departure = Departure(self.name, self._vm, self._now_s())
+        self._history.departures[self.name] = departure
+        await asyncio.sleep(_SERVE_ON_S * self._rng.random())
+        await self._post(*delayed_heartbeat)
+        await asyncio.sleep(_SERVE_ON_S)
         if not is_abrupt:
-            await self._say(f"/Instances.Deregister/{self.name}", b"")
+            await self._post(f"/Instances.Deregister/{self.name}", b"")
         self.stop()
-        await asyncio.sleep(_SUCCESSOR_S)
-        await self._start_again()
+        await asyncio.sleep(_REPLACEMENT_DELAY_S)
+        await self._start_replacement()
 
     def slow_down(self) -> None:
-        """Take many times as long from now on."""
-        self.slowness = _SLOW_FACTOR
+        """Take ten times as long for each request from now on."""
+        self.work_factor = _SLOW_FACTOR
 
     def heal(self) -> None:
-        """Work as usual again."""
-        self.slowness = 1.0
+        """End the faults of the instance."""
+        self.work_factor = 1.0
         self.garbled_share = 0.0
 
-    async def _start_again(self) -> None:
+    async def _start_replacement(self) -> None:
         await self.start(self._port)
         self.announce()
-        self._is_changing = False
+        self._is_replacing = False
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            is_heard = await self._say(*self._heartbeat())
-            await asyncio.sleep(_HEARTBEAT_S if is_heard else _RETRY_S)
+            is_accepted = await self._post(*self._next_heartbeat())
+            await asyncio.sleep(
+                _HEARTBEAT_INTERVAL_S if is_accepted else _RETRY_PAUSE_S
+            )
 
-    async def _say_until_heard(self, path: str, body: bytes) -> None:
-        while not await self._say(path, body):
-            await asyncio.sleep(_RETRY_S)
+    async def _post_until_accepted(self, path: str, body: bytes) -> None:
+        while not await self._post(path, body):
+            await asyncio.sleep(_RETRY_PAUSE_S)
 
-    async def _say(self, path: str, body: bytes) -> bool:
+    async def _post(self, path: str, body: bytes) -> bool:
         host, _, port = self.heartbeat_address.partition(":")
-        fetcher = Fetcher(host, int(port), int(_ANSWER_S * 1000))
+        fetcher = Fetcher(host, int(port), int(_ANSWER_TIMEOUT_S * 1000))
         try:
             return (await fetcher.fetch("POST", path, body)).status == 200
         except (OSError, TimeoutError, ConnectionLostError):
-            # The daemon is down or frozen; whoever calls says it again.
+            # The daemon is down or paused; the caller repeats the request.
             return False
         finally:
             fetcher.close()
 
-    def _heartbeat(self) -> tuple[str, bytes]:
+    def _next_heartbeat(self) -> tuple[str, bytes]:
         self._sequence += 1
         content = {
             "service": self._service,
@@ -210,13 +219,13 @@
         self._history.arrivals[request_id].append(arrival)
         try:
             await asyncio.sleep(
-                self.slowness * self._rng.uniform(_WORK_MIN_S, _WORK_MAX_S)
+                self.work_factor * self._rng.uniform(_WORK_MIN_S, _WORK_MAX_S)
             )
         finally:
-            # Another instance at this address begins its own count.
+            # A replacement at this address starts its own count.
             self._n_running -= name == self.name
         if exchange.request.path == POISON_PATH:
-            self._poisoning = asyncio.create_task(self._end_under_poison())
+            self._crash_task = asyncio.create_task(self._crash_by_poison())
             return
         await self._answer(exchange, request_id)
 
--- a/tests/soak/machines.py
+++ b/tests/soak/machines.py
@@ -1,4 +1,4 @@
-"""VMs of a soak: the daemon as a process, links that can fail, an instance, callers."""
+"""VMs of a soak: each has a daemon process, links that can fail and an instance."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 from .instance import Instance
 
 _RESTART_S = 0.3
-_LOOK_S = 0.02
-_GRACE_S = 6.0
+_POLL_INTERVAL_S = 0.02
+_STOP_GRACE_S = 6.0
 _STARTED = b'"event": "started"'
 
 
 class DaemonVm(Vm):
-    """A VM whose daemon is reached through a link, with a clock that can be moved."""
+    """A VM whose daemon is reached through a link and has a skewable clock."""
 
     advertised: str = ""
 
     def settings_text(self) -> str:
-        """Return the settings, with the link's address told to the others."""
-        own = f'address = "127.0.0.1:{self.ports["peers"]}"'
-        told = f'{own}\nadvertised_address = "{self.advertised}"'
-        return super().settings_text().replace(own, told, 1)
+        """Return the settings, with the link's address as the advertised one."""
+        local = f'address = "127.0.0.1:{self.ports["peers"]}"'
+        advertised = f'{local}\nadvertised_address = "{self.advertised}"'
+        return super().settings_text().replace(local, advertised, 1)
 
     def command(self) -> list[str]:
-        """Return the command that starts the daemon under a clock that can move."""
+        """Return the command that starts the daemon with a clock that can be skewed."""
         return [sys.executable, "-m", "tests.soak.skewed_daemon", str(self.skew_file)]
 
     @property
     def skew_file(self) -> Path:
-        """Return the file with the seconds that the time of day is off."""
+        """Return the file with the skew of the daemon's time of day, in seconds."""
         return self.folder / f"{self.name}.skew"
 
 
 class Machine:
-    """One VM with all that belongs to it, and what is done to it from outside."""
+    """One VM with its daemon, instance and links, and the faults applied to it."""
 
     def __init__(
         self,
@@ -57,14 +57,14 @@
         self.instance = Instance(history, vm.name, vm.service, rng, now_s)
         self.links: dict[str, Link] = {}
         self.n_starts = 0
-        self.own_ends: list[str] = []
+        self.unexpected_exits: list[str] = []
         self._history = history
         self._now_s = now_s
-        self._killed: set[int] = set()
-        self._log_begin = 0
+        self._killed_starts: set[int] = set()
+        self._log_offset = 0
         self._stopped_s: float | None = None
         self._was_paused = False
-        self._watching: asyncio.Task[None] | None = None
+        self._supervision: asyncio.Task[None] | None = None
 
     async def start(self, store: str, peer_port: int) -> None:
         """Start the instance, the links and the daemon."""
@@ -86,37 +86,37 @@
         control = self.vm.ports["control_plane"]
         self.instance.heartbeat_address = f"127.0.0.1:{control}"
         self.instance.announce()
-        self._watching = asyncio.get_running_loop().create_task(self._watch())
+        self._supervision = asyncio.get_running_loop().create_task(self._supervise())
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, sent: signal.Signals) -> None:
         """Send a signal to the daemon, if it runs."""
         with contextlib.suppress(ProcessLookupError):
-            self.vm.process.send_signal(number)
-        if number is signal.SIGKILL:
-            self._killed.add(self.n_starts)
-        elif number is signal.SIGTERM and self._stopped_s is None:
+            self.vm.process.send_signal(sent)
+        if sent is signal.SIGKILL:
+            self._killed_starts.add(self.n_starts)
+        elif sent is signal.SIGTERM and self._stopped_s is None:
             self._stopped_s = self._now_s()
-        elif number is signal.SIGSTOP:
+        elif sent is signal.SIGSTOP:
             self._was_paused = True
 
-    def move_clock(self, skew_s: float) -> None:
-        """Let the daemon's time of day be off by so much."""
+    def set_clock_skew(self, skew_s: float) -> None:
+        """Set the skew of the daemon's time of day."""
         self.vm.skew_file.write_text(str(skew_s))
 
     def heal(self) -> None:
         """End every fault of this VM."""
-        self.send(signal.SIGCONT)
+        self.send_signal(signal.SIGCONT)
         for link in self.links.values():
             link.heal()
         self.instance.heal()
-        self.move_clock(0.0)
+        self.set_clock_skew(0.0)
 
     async def close(self) -> None:
-        """End everything that belongs to the VM."""
-        if self._watching is not None:
-            self._watching.cancel()
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGKILL)
+        """End the daemon, the instance and the links of the VM."""
+        if self._supervision is not None:
+            self._supervision.cancel()
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGKILL)
         await asyncio.to_thread(self.vm.process.wait)
         self.instance.stop()
         for link in self.links.values():
@@ -124,55 +124,57 @@
 
     @property
     def _log(self) -> Path:
-        """Return the file that every process of the daemon writes its log to."""
+        """Return the log file, to which every process of the daemon appends."""
         return self.vm.folder / f"{self.vm.name}.log"
 
     def _start_daemon(self) -> None:
         self.n_starts += 1
-        self._log_begin = self._log.stat().st_size if self._log.exists() else 0
+        self._log_offset = self._log.stat().st_size if self._log.exists() else 0
         self._stopped_s = None
         self._was_paused = False
         self.vm.start_daemon()
 
-    async def _watch(self) -> None:
-        """Start the daemon again when it has ended, as the platform would."""
+    async def _supervise(self) -> None:
+        """Restart the daemon whenever it has ended, as the platform would."""
         while True:
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
             code = self.vm.process.poll()
             if code is None:
-                self._end_overdue()
+                self._kill_overdue()
                 continue
             ended_s = self._now_s()
-            is_planned = self._note_end(code)
+            is_planned = self._check_exit(code)
             await asyncio.sleep(_RESTART_S)
             self._start_daemon()
             down = Disturbance(self.vm.name, "down", ended_s, self._now_s(), is_planned)
             self._history.disturbances.append(down)
 
-    def _note_end(self, code: int) -> bool:
-        """Take the end of a process, and return whether it had been asked to end."""
-        if self.n_starts in self._killed:
+    def _check_exit(self, code: int) -> bool:
+        """Check the exit of a process; return whether it had been asked to stop."""
+        if self.n_starts in self._killed_starts:
             return False
-        # Until a process has set its handlers, SIGTERM ends it at once. It listens
-        # nowhere yet, so that nobody loses anything.
-        has_started = _STARTED in self._log.read_bytes()[self._log_begin :]
+        # SIGTERM ends a process at once until its handlers are installed. It does not
+        # listen yet, so no request is lost.
+        has_started = _STARTED in self._log.read_bytes()[self._log_offset :]
         is_ended_at_start = code == -signal.SIGTERM and not has_started
         if self._stopped_s is None or (code != 0 and not is_ended_at_start):
-            what = f"{self.vm.name} start {self.n_starts} ended with {code}"
-            self.own_ends.append(what)
+            event = f"{self.vm.name} start {self.n_starts} exited with status {code}"
+            self.unexpected_exits.append(event)
         return self._stopped_s is not None
 
-    def _end_overdue(self) -> None:
-        """Kill a daemon that was told to stop and still runs after its grace."""
-        if self._stopped_s is None or self.n_starts in self._killed:
+    def _kill_overdue(self) -> None:
+        """Kill a daemon that still runs after the grace period of its stop."""
+        if self._stopped_s is None or self.n_starts in self._killed_starts:
             return
-        if self._now_s() - self._stopped_s <= _GRACE_S:
+        if self._now_s() - self._stopped_s <= _STOP_GRACE_S:
             return
         if not self._was_paused:
-            what = f"{self.vm.name} start {self.n_starts} still ran after its grace"
-            self.own_ends.append(what)
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGKILL)
+            event = (
+                f"{self.vm.name} start {self.n_starts} still ran after its grace period"
+            )
+            self.unexpected_exits.append(event)
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGKILL)
 
 
 __all__ = ["DaemonVm", "Machine"]
--- a/tests/soak/operator.py
+++ b/tests/soak/operator.py
@@ -15,14 +15,14 @@
 SERVICES = ("ledger", "vault", "archive")
 _TIMEOUT_S = 1.0
 _N_ATTEMPTS = 2
-# Routes that each stand in so many versions and are then dropped.
-_N_PASSING = 3
+# Number of temporary routes at a time; each is in this many versions, then removed.
+_N_TEMPORARY_ROUTES = 3
 _INVALID_SHARE = 0.2
 _TYPES = {"/awards/": "non_idempotent", "/maps/": "download"}
 
 
 class Operator:
-    """Writes whole versions, with numbers that rise in uneven steps."""
+    """Writes complete versions, whose numbers rise in uneven steps."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         return list(self._history.versions[-1].routes.values())
 
     def write(self) -> None:
-        """Write the next version; now and then one that is cut short before it."""
+        """Write the next version, sometimes preceded by a truncated, invalid one."""
         self._n_versions += 1
         self._number += self._rng.randint(1, 4)
         routes = self._next_routes()
@@ -55,13 +55,15 @@
         self._history.versions.append(version)
 
     def _next_routes(self) -> dict[str, Route]:
-        turn = self._n_versions % len(SERVICES)
+        offset = self._n_versions % len(SERVICES)
         services = {
-            "/logs/": SERVICES[turn],
-            "/awards/": SERVICES[(turn + 1) % len(SERVICES)],
+            "/logs/": SERVICES[offset],
+            "/awards/": SERVICES[(offset + 1) % len(SERVICES)],
             "/maps/": "archive",
         }
-        for number in range(max(1, self._n_versions - _N_PASSING), self._n_versions):
+        for number in range(
+            max(1, self._n_versions - _N_TEMPORARY_ROUTES), self._n_versions
+        ):
             services[f"/passing-{number}/"] = "ledger"
         return {
             prefix: Route(
--- a/tests/soak/callers_ahead.py
+++ b/tests/soak/pipelining_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send further requests before the first one is answered."""
+"""Callers that pipeline: they send requests before earlier ones are answered."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 import random
 from collections.abc import Callable
 
-from .callers import HOST, PATIENCE_S, PAUSE_S, Place, draw_call
+from .callers import HOST, LATE_ANSWER_WAIT_S, PAUSE_S, OutboundEndpoint, draw_call
 from .history import Answer, Call, History, Route
 
-_N_AHEAD_MAX = 5
+_N_PIPELINED_MAX = 5
 _BODY_MAX_BYTES = 300
 
 
-class AheadCaller:
-    """One caller that sends a few requests of any kind in one go on one connection.
+class PipeliningCaller:
+    """One caller that sends a few requests of any kind at once on one connection.
 
-    What stands behind an answer that closes the connection counts as unread: it must
-    not have run where that matters, and never run later.
+    The requests that follow an answer that closes the connection count as unread:
+    the non-idempotent ones must not have run, and must never run later.
     """
 
     def __init__(
         self,
         name: str,
-        place: Place,
+        endpoint: OutboundEndpoint,
         history: History,
         routes: Callable[[], list[Route]],
         rng: random.Random,
         now_s: Callable[[], float],
     ) -> None:
         self._name = name
-        self._place = place
+        self._endpoint = endpoint
         self._history = history
         self._routes = routes
         self._rng = rng
@@ -38,15 +38,15 @@
         self.pause_s = PAUSE_S
 
     async def run(self) -> None:
-        """Send some requests ahead after the other, for ever."""
+        """Send one group of pipelined requests after another until cancelled."""
         number = 0
         while True:
             number += 1
-            n_requests = self._rng.randrange(2, _N_AHEAD_MAX + 1)
+            n_requests = self._rng.randrange(2, _N_PIPELINED_MAX + 1)
             calls = [
                 draw_call(
                     f"{self._name}-{number}-{index}",
-                    self._place,
+                    self._endpoint,
                     self._rng.choice(self._routes()),
                     self._rng,
                     _BODY_MAX_BYTES,
@@ -59,38 +59,40 @@
             await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.5))
 
     async def _send(self, calls: list[tuple[Call, bytes]]) -> None:
-        """Send requests in one go and note what became of each."""
-        waiting = [call for call, _ in calls]
-        for call in waiting:
+        """Send requests at once and record the outcome of each."""
+        pending = [call for call, _ in calls]
+        for call in pending:
             self._history.calls[call.request_id] = call
-        patience_s = PATIENCE_S + sum(call.timeout_s for call in waiting)
-        host, _, port = self._place.address.partition(":")
+        wait_s = LATE_ANSWER_WAIT_S + sum(call.timeout_s for call in pending)
+        host, _, port = self._endpoint.address.partition(":")
         writer = None
         is_closed_by_answer = False
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(wait_s):
                 reader, writer = await asyncio.open_connection(host, int(port))
-                writer.write(b"".join(_head_of(call, body) for call, body in calls))
-                while waiting and not is_closed_by_answer:
-                    answer, is_closed_by_answer = await self._read(reader)
-                    self._history.answers[waiting.pop(0).request_id] = answer
+                writer.write(
+                    b"".join(_encode_request(call, body) for call, body in calls)
+                )
+                while pending and not is_closed_by_answer:
+                    answer, is_closed_by_answer = await self._read_answer(reader)
+                    self._history.answers[pending.pop(0).request_id] = answer
         except (OSError, TimeoutError, EOFError):
             pass
         finally:
             if writer is not None:
                 writer.close()
-        self._note_unanswered(waiting, is_closed_by_answer)
+        self._record_unanswered(pending, is_closed_by_answer)
 
-    def _note_unanswered(self, waiting: list[Call], is_unread: bool) -> None:
-        for index, call in enumerate(waiting):
-            # Only the first one may have been passed on alone; the others stood behind.
-            is_behind = is_unread or index > 0
+    def _record_unanswered(self, pending: list[Call], is_unread: bool) -> None:
+        for index, call in enumerate(pending):
+            # Only the first one may have been forwarded alone; the others were queued.
+            is_abandoned = is_unread or index > 0
             self._history.answers[call.request_id] = Answer(
-                0, b"", "", self._now_s(), is_behind, is_unread
+                0, b"", "", self._now_s(), is_abandoned, is_unread
             )
 
-    async def _read(self, reader: asyncio.StreamReader) -> tuple[Answer, bool]:
-        """Read one answer; say whether it closes the connection."""
+    async def _read_answer(self, reader: asyncio.StreamReader) -> tuple[Answer, bool]:
+        """Read one answer; return it and whether it closes the connection."""
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         status_line, *lines = head.strip().split("\r\n")
         headers = dict(line.lower().split(": ", 1) for line in lines)
@@ -104,7 +106,7 @@
         return answer, headers.get("connection") == "close"
 
 
-def _head_of(call: Call, body: bytes) -> bytes:
+def _encode_request(call: Call, body: bytes) -> bytes:
     method = "GET" if call.is_idempotent else "POST"
     lines = [
         f"{method} {call.path} HTTP/1.1",
@@ -126,4 +128,4 @@
     return b"".join(parts)
 
 
-__all__ = ["AheadCaller"]
+__all__ = ["PipeliningCaller"]
--- a/tests/soak/poison.py
+++ b/tests/soak/poison.py
@@ -1,4 +1,4 @@
-"""A request that crashes each instance that runs it, sent again and again."""
+"""A poison request, which crashes each instance that runs it, sent repeatedly."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class PoisonCaller(Caller):
-    """A caller that sends the same request each time, under another id."""
+    """A caller that sends the same request each time, under a new id."""
 
     def _draw(self, request_id: str) -> tuple[Call, bytes]:
         routes = {route.prefix: route for route in self._routes()}
         call = Call(
             request_id=request_id,
-            vm=self._place.vm,
-            process=self._place.process(),
+            vm=self._endpoint.vm,
+            process=self._endpoint.process(),
             path=POISON_PATH,
             prefix=POISON_PREFIX,
             digest=hashlib.sha256(b"").hexdigest(),
--- a/tests/soak/skewed_daemon.py
+++ b/tests/soak/skewed_daemon.py
@@ -1,7 +1,7 @@
-"""Starts the daemon with a time of day that a file moves, as a bad clock would.
+"""Starts the daemon with a time of day that is skewed, as by a wrong system clock.
 
-The first argument is the file; it holds the seconds to add. The steady clocks are
-left as they are.
+The first argument is a file that holds the seconds to add. The monotonic clocks are
+not changed.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     try:
         return float(_FILE.read_text())
     except (OSError, ValueError):
-        # The file is written anew just now, or not yet; the clock is right then.
+        # The file is being rewritten or does not exist yet; the skew is zero then.
         return 0.0
 
 
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -1,17 +1,22 @@
-"""The checks of the soak: each must see what it is there for."""
+"""Each check of the soak must detect the violations that it is meant to detect."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
-from tests.soak.checks import N_POISONED_LATE_MAX, Broken, answer_body, iter_broken
+from tests.soak.checks import (
+    N_LATE_POISON_RUNS_MAX,
+    Violation,
+    answer_body,
+    iter_violations,
+)
 from tests.soak.history import (
     Answer,
     Arrival,
     Call,
+    Departure,
     Disturbance,
     History,
-    Leaving,
     Route,
     Version,
 )
@@ -19,12 +24,12 @@
 SENT_S = 100.0
 
 
-class Seen:
-    """A history with one request that went well, for a test to change."""
+class HistoryExample:
+    """A history with one successful request, which a test changes."""
 
     def __init__(self, *, is_idempotent: bool = True) -> None:
         self.history = History(
-            services={"vm-1": "vault"}, slots={"i-1": 4}, healed_s=SENT_S - 50.0
+            services={"vm-1": "vault"}, slots={"i-1": 4}, faults_ended_s=SENT_S - 50.0
         )
         self.version(1, "ledger", 0.0)
         self.is_idempotent = is_idempotent
@@ -33,12 +38,12 @@
         self.answer("r1")
 
     def version(self, number: int, service: str, at_s: float) -> None:
-        """Write a version that routes to a service."""
+        """Record a version that routes to a service."""
         routes = {"/logs/": Route("/logs/", service, True, 1.0, 2)}
         self.history.versions.append(Version(number, routes, at_s))
 
     def call(self, request_id: str, sent_s: float = SENT_S) -> None:
-        """Send a request."""
+        """Record a sent request."""
         self.history.calls[request_id] = Call(
             request_id,
             "vm-1",
@@ -51,175 +56,189 @@
             sent_s,
         )
 
-    def arrive(self, request_id: str, at_s: float = SENT_S, **more) -> None:
-        """Let it run on an instance."""
-        told = {"service": "ledger", "path": "/logs/1/10", "n_running": 1, **more}
+    def arrive(self, request_id: str, at_s: float = SENT_S, **overrides) -> None:
+        """Record the arrival of a request at an instance."""
+        fields = {
+            "service": "ledger",
+            "path": "/logs/1/10",
+            "n_running": 1,
+            **overrides,
+        }
         arrival = Arrival(
             request_id,
             "i-1",
-            told["service"],
+            fields["service"],
             "vm-1",
-            told["path"],
+            fields["path"],
             "digest",
             "vault",
             at_s,
-            told["n_running"],
+            fields["n_running"],
         )
         self.history.arrivals[request_id].append(arrival)
 
     def answer(
-        self, request_id: str, status: int = 200, at_s: float = SENT_S + 0.1, **more
+        self,
+        request_id: str,
+        status: int = 200,
+        at_s: float = SENT_S + 0.1,
+        **overrides,
     ) -> None:
-        """Answer it; the instance's own answer where nothing else is said."""
-        told = {
+        """Record the answer to a request, by default the one of the instance."""
+        fields = {
             "body": answer_body(request_id, 10),
             "signature": f"signed-{request_id}",
-            **more,
+            **overrides,
         }
-        self.history.answers[request_id] = Answer(status=status, at_s=at_s, **told)
+        self.history.answers[request_id] = Answer(status=status, at_s=at_s, **fields)
 
-    def promises(self) -> list[str]:
-        """Return the promises that are broken."""
-        return [broken.promise for broken in iter_broken(self.history)]
+    def violated_guarantees(self) -> list[str]:
+        """Return the names of the violated guarantees."""
+        return [violation.guarantee for violation in iter_violations(self.history)]
 
 
-def test_history_in_which_all_went_well_breaks_nothing():
-    assert Seen().promises() == []
+def test_history_without_failures_violates_no_guarantee():
+    assert HistoryExample().violated_guarantees() == []
 
 
-def test_answer_of_another_request_is_seen():
-    """A caller gets the answer that was meant for somebody else."""
-    seen = Seen()
-    seen.answer("r1", body=answer_body("r2", 10))
-    assert seen.promises() == ["own answer"]
+def test_answer_of_another_request_is_detected():
+    """Guards against a caller that receives the answer to another request."""
+    example = HistoryExample()
+    example.answer("r1", body=answer_body("r2", 10))
+    assert example.violated_guarantees() == ["answer to own request"]
 
 
-def test_answer_that_was_cut_is_seen():
-    """A connection ends early and the part that came looks like all of it."""
-    seen = Seen()
-    seen.answer("r1", body=answer_body("r1", 9))
-    assert seen.promises() == ["whole answer"]
+def test_truncated_answer_is_detected():
+    """Guards against a body that looks complete although its connection ended early."""
+    example = HistoryExample()
+    example.answer("r1", body=answer_body("r1", 9))
+    assert example.violated_guarantees() == ["complete answer"]
 
 
-def test_request_that_nobody_sent_or_that_was_changed_is_seen():
-    seen = Seen()
-    seen.arrive("r9")
-    assert seen.promises() == ["asked for"]
-    seen = Seen()
-    seen.history.arrivals.clear()
-    seen.arrive("r1", path="/logs/2/10")
-    assert seen.promises() == ["unchanged"]
+def test_unsent_or_altered_request_is_detected():
+    example = HistoryExample()
+    example.arrive("r9")
+    assert example.violated_guarantees() == ["sent by a caller"]
+    example = HistoryExample()
+    example.history.arrivals.clear()
+    example.arrive("r1", path="/logs/2/10")
+    assert example.violated_guarantees() == ["unchanged"]
 
 
-def test_second_run_of_a_booking_is_seen():
-    """A daemon sends a booking again although it may have run."""
-    seen = Seen(is_idempotent=False)
-    seen.arrive("r1")
-    assert seen.promises() == ["at most once"]
+def test_second_run_of_a_non_idempotent_request_is_detected():
+    """Guards against a daemon that resends such a request although it may have run."""
+    example = HistoryExample(is_idempotent=False)
+    example.arrive("r1")
+    assert example.violated_guarantees() == ["at most once"]
 
 
-def test_refusal_of_what_ran_is_seen():
-    """A caller is told that nothing ran, books again and pays twice."""
-    seen = Seen(is_idempotent=False)
-    seen.answer("r1", 503)
-    assert "not run" in seen.promises()
+def test_refusal_of_a_request_that_ran_is_detected():
+    """Guards against a double booking by a caller that was refused as not run."""
+    example = HistoryExample(is_idempotent=False)
+    example.answer("r1", 503)
+    assert "not run" in example.violated_guarantees()
 
 
-def test_more_instances_than_the_route_allows_are_seen():
-    seen = Seen()
-    seen.arrive("r1")
-    seen.arrive("r1")
-    assert seen.promises() == ["attempts"]
+def test_more_attempts_than_the_route_allows_are_detected():
+    example = HistoryExample()
+    example.arrive("r1")
+    example.arrive("r1")
+    assert example.violated_guarantees() == ["attempts"]
 
 
-def test_request_after_the_acknowledged_leaving_is_seen():
-    """An instance that leaves gets work that it will cut."""
-    seen = Seen()
-    seen.history.leavings["i-1"] = Leaving("i-1", "vm-1", SENT_S - 2.5)
-    assert seen.promises() == ["drain"]
-    seen.history.leavings["i-1"] = Leaving("i-1", "vm-1", SENT_S - 1.5)
-    assert seen.promises() == []
+def test_request_after_the_acknowledged_departure_is_detected():
+    """Guards against requests to a departing instance, which breaks them by its end."""
+    example = HistoryExample()
+    example.history.departures["i-1"] = Departure("i-1", "vm-1", SENT_S - 2.5)
+    assert example.violated_guarantees() == ["drain"]
+    example.history.departures["i-1"] = Departure("i-1", "vm-1", SENT_S - 1.5)
+    assert example.violated_guarantees() == []
 
 
-def test_outdated_and_unknown_routes_are_seen():
-    seen = Seen()
-    seen.version(2, "vault", SENT_S - 2.5)
-    assert seen.promises() == ["in force"]
-    seen = Seen()
-    seen.history.arrivals.clear()
-    seen.arrive("r1", service="archive")
-    assert seen.promises() == ["route"]
+def test_outdated_and_unknown_routes_are_detected():
+    example = HistoryExample()
+    example.version(2, "vault", SENT_S - 2.5)
+    assert example.violated_guarantees() == ["in force"]
+    example = HistoryExample()
+    example.history.arrivals.clear()
+    example.arrive("r1", service="archive")
+    assert example.violated_guarantees() == ["route"]
 
 
-def test_version_that_goes_back_is_seen():
-    """A daemon has routed by a version, and a second later by the one before."""
-    seen = Seen()
-    seen.version(2, "vault", SENT_S - 1.9)
-    seen.call("r0", SENT_S - 1.0)
-    seen.arrive("r0", SENT_S - 1.0, service="vault")
-    seen.answer("r0", at_s=SENT_S - 0.9)
-    assert seen.promises() == ["never back"]
+def test_return_to_an_older_version_is_detected():
+    """Guards against a daemon that routes by the previous version a second later."""
+    example = HistoryExample()
+    example.version(2, "vault", SENT_S - 1.9)
+    example.call("r0", SENT_S - 1.0)
+    example.arrive("r0", SENT_S - 1.0, service="vault")
+    example.answer("r0", at_s=SENT_S - 0.9)
+    assert example.violated_guarantees() == ["no version regression"]
 
 
-def test_lost_route_is_seen():
-    seen = Seen()
-    seen.history.arrivals.clear()
-    seen.answer("r1", 404)
-    assert "denied" in seen.promises()
+def test_lost_route_is_detected():
+    example = HistoryExample()
+    example.history.arrivals.clear()
+    example.answer("r1", 404)
+    assert "denied" in example.violated_guarantees()
 
 
-def test_requests_without_an_answer_are_seen():
-    """A daemon holds requests past their time."""
-    seen = Seen()
+def test_requests_without_an_answer_are_detected():
+    """Guards against a daemon that holds requests past their deadline."""
+    example = HistoryExample()
     for number in range(4):
-        seen.call(f"late-{number}", SENT_S - 30.0)
-        seen.answer(f"late-{number}", 504, SENT_S)
-    assert "answered in time" in seen.promises()
+        example.call(f"late-{number}", SENT_S - 30.0)
+        example.answer(f"late-{number}", 504, SENT_S)
+    assert "answered in time" in example.violated_guarantees()
 
 
-def test_cut_by_a_stop_is_seen_and_one_beside_a_kill_is_not():
-    """A daemon is told to stop and closes a connection with a request on it."""
-    seen = Seen()
+def test_request_lost_by_a_stop_is_detected_unless_a_daemon_was_killed():
+    """Guards against a stopping daemon that closes a connection in use."""
+    example = HistoryExample()
     planned = Disturbance("vm-1", "stop", SENT_S - 1.0, SENT_S + 5.0, True)
-    seen.history.disturbances.append(planned)
-    seen.answer("r1", 0, body=b"", signature="")
-    assert "stops cut nothing" in seen.promises()
+    example.history.disturbances.append(planned)
+    example.answer("r1", 0, body=b"", signature="")
+    assert "no loss by planned work" in example.violated_guarantees()
     killed = Disturbance("vm-2", "kill", SENT_S - 1.0, SENT_S)
-    seen.history.disturbances.append(killed)
-    assert "stops cut nothing" not in seen.promises()
-
-
-def test_fleet_that_does_not_recover_is_seen():
-    seen = Seen()
-    seen.answer("r1", 503)
-    broken = list(iter_broken(seen.history))
-    assert broken == [Broken("recovers", "0 of 1 served afterwards")]
-
-
-def test_poison_that_runs_on_is_seen():
-    """Guards against a check that misses runs long after the third crash."""
-    for n_late in (N_POISONED_LATE_MAX, N_POISONED_LATE_MAX + 1):
-        seen = Seen()
-        seen.history.poisoned_s += [SENT_S - 60.0, SENT_S - 50.0, SENT_S - 40.0]
+    example.history.disturbances.append(killed)
+    assert "no loss by planned work" not in example.violated_guarantees()
+
+
+def test_fleet_that_does_not_recover_is_detected():
+    example = HistoryExample()
+    example.answer("r1", 503)
+    violations = list(iter_violations(example.history))
+    assert violations == [Violation("recovers", "0 of 1 served after recovery")]
+
+
+def test_late_runs_of_a_poison_request_are_detected():
+    """Guards against runs of a poison request long after the third crash."""
+    for n_late in (N_LATE_POISON_RUNS_MAX, N_LATE_POISON_RUNS_MAX + 1):
+        example = HistoryExample()
+        example.history.poison_crashes_s += [
+            SENT_S - 60.0,
+            SENT_S - 50.0,
+            SENT_S - 40.0,
+        ]
         for index in range(n_late):
             request_id = f"p{index}"
-            seen.call(request_id)
-            call = seen.history.calls[request_id]
-            seen.history.calls[request_id] = replace(call, is_poison=True)
-            seen.arrive(request_id)
-            seen.answer(request_id, 502)
-        is_broken = n_late > N_POISONED_LATE_MAX
-        assert seen.promises() == (["poison"] if is_broken else [])
+            example.call(request_id)
+            call = example.history.calls[request_id]
+            example.history.calls[request_id] = replace(call, is_poison=True)
+            example.arrive(request_id)
+            example.answer(request_id, 502)
+        is_violated = n_late > N_LATE_POISON_RUNS_MAX
+        assert example.violated_guarantees() == (["poison"] if is_violated else [])
 
 
-def test_request_that_ran_behind_a_closing_answer_is_seen():
-    """A daemon stops, and a booking stood behind the answer that closed its connection.
+def test_request_that_ran_despite_a_closing_answer_is_detected():
+    """Guards against runs of requests that follow an answer that closes the connection.
 
-    Its caller holds it for unread and sends it again: it must not have run.
+    A daemon stops and closes the connection before a booking that was pipelined. Its
+    caller takes it for unread and sends it again, so it must not have run.
     """
     for is_idempotent in (False, True):
-        seen = Seen(is_idempotent=is_idempotent)
-        seen.call("r2")
-        seen.arrive("r2")
-        seen.answer("r2", 0, is_abandoned=True, is_unread=True)
-        assert seen.promises() == ([] if is_idempotent else ["unread"])
+        example = HistoryExample(is_idempotent=is_idempotent)
+        example.call("r2")
+        example.arrive("r2")
+        example.answer("r2", 0, is_abandoned=True, is_unread=True)
+        assert example.violated_guarantees() == ([] if is_idempotent else ["unread"])
