--- a/benchmarks/burn.py
+++ b/benchmarks/burn.py
@@ -1,4 +1,4 @@
-"""`make bench-burn`: what counting for the burn report and the metrics costs."""
+"""`make bench-burn`: measure the cost of counting calls for burn rates and metrics."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 def main() -> int:
-    """Print cost per call, cost per report and memory."""
+    """Print the cost per call, the cost per report and the memory."""
     print(f"make bench-burn; {describe_machine()}")
-    counts, timings = BurnCounts(0), DurationHistogram()
+    counts, durations = BurnCounts(0), DurationHistogram()
     outcomes = [
         CallOutcome(f"c{i}", "r", "urgent", 200, None, RunStatus.YES, 3.0, 0)
         for i in range(N_CUSTOMERS_MAX)
@@ -35,36 +35,40 @@
         for index in range(N_CALLS):
             counts.add(outcomes[index % N_CUSTOMERS_MAX], DAY_MS + index)
 
-    def time_calls() -> None:
+    def add_durations() -> None:
         for index in range(N_CALLS):
-            timings.add(index % 997 / 7)
+            durations.add(index % 997 / 7)
 
-    def report_one() -> None:
+    def report_one_customer() -> None:
         msgspec.to_builtins(next(counts.iter_customers(2 * DAY_MS, {})))
 
-    def report() -> None:
+    def report_all_customers() -> None:
         counts_to_table(counts.snapshot("vm-1", 2 * DAY_MS, {}))
 
-    print(f"burn count of a call      {1e6 * fastest_s(count_calls) / N_CALLS:8.2f} us")
-    print(f"time of a call            {1e6 * fastest_s(time_calls) / N_CALLS:8.2f} us")
-    print(f"counts of one customer    {1e3 * fastest_s(report_one):8.2f} ms")
-    print(f"counts of 100 customers   {1e3 * fastest_s(report):8.2f} ms")
-    print(f"memory at the cap         {memory_bytes(outcomes) / 1e6:8.2f} MB")
+    print(
+        f"burn counts, per call      {1e6 * fastest_s(count_calls) / N_CALLS:8.2f} us"
+    )
+    print(
+        f"duration, per call         {1e6 * fastest_s(add_durations) / N_CALLS:8.2f} us"
+    )
+    print(f"report, one customer       {1e3 * fastest_s(report_one_customer):8.2f} ms")
+    print(f"report, 100 customers      {1e3 * fastest_s(report_all_customers):8.2f} ms")
+    print(f"memory, all counts in use  {full_counts_bytes(outcomes) / 1e6:8.2f} MB")
     return 0
 
 
-def fastest_s(run: Callable[[], None]) -> float:
-    """Return the time of the fastest of a few rounds."""
+def fastest_s(work: Callable[[], None]) -> float:
+    """Return the time of the fastest of `N_ROUNDS` rounds."""
     times_s = []
     for _ in range(N_ROUNDS):
         started_s = time.perf_counter()
-        run()
+        work()
         times_s.append(time.perf_counter() - started_s)
     return min(times_s)
 
 
-def memory_bytes(outcomes: list[CallOutcome]) -> int:
-    """Return what the counts take with every customer and change they may hold."""
+def full_counts_bytes(outcomes: list[CallOutcome]) -> int:
+    """Return the memory of counts with the maximum number of customers and changes."""
     tracemalloc.start()
     counts = BurnCounts(0)
     for outcome in outcomes:
--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -1,7 +1,8 @@
-"""`make bench-calls`: goodput and latency under load and faults, beside naive.
+"""`make bench-calls`: compare goodput and latency with a naive implementation.
 
-Both versions serve the same deployment at the same time and are loaded in turn,
-segment by segment, with the same seeded arrivals.
+Both implementations serve the same deployment at the same time. Each case of load and
+faults runs as one segment on one implementation and then on the other, with the same
+seeded arrivals.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from .convergence import VERSIONS
+from .convergence import DAEMON_COMMANDS
 from .deployments import (
     DEPLOYMENTS,
     SMALL_CUSTOMERS,
@@ -29,36 +30,36 @@
 from .report import print_run, print_table
 
 SEED: Final = 1
-SHARES: Final = {"urgent": 0.3, "normal": 0.5, "deferrable": 0.2}
+PRIORITY_SHARES: Final = {"urgent": 0.3, "normal": 0.5, "deferrable": 0.2}
 DEADLINES_MS: Final = {"urgent": 2000.0, "normal": 2000.0, "deferrable": 10_000.0}
 FAULT_LOAD: Final = 0.7
-SLOW_BY: Final = 10
-SMALL_LOAD: Final = 0.15
-FLOOD: Final = 10
+SLOWDOWN_FACTOR: Final = 10
+SMALL_CUSTOMERS_LOAD: Final = 0.15
+FLOOD_FACTOR: Final = 10
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What one target is told before a segment and after it."""
+    """A setting of one target that is changed for a segment and restored after it."""
 
     target: int
-    what: str
+    setting: str
     value: str
-    value_after: str
+    restored_value: str
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One segment: its name, its load and what goes wrong meanwhile."""
+    """One segment: its name, its load and the faults injected during it."""
 
     name: str
     streams: tuple[Stream, ...]
     fault: Fault | None = None
-    is_restarting: bool = False
+    has_rolling_restart: bool = False
 
 
 def main() -> None:
-    """Measure the deployments that were asked for."""
+    """Measure the selected deployments."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--deployments", default="lantern")
     parser.add_argument("--loads", default="0.9 2")
@@ -83,14 +84,14 @@
                 stack.enter_context(running_fleet(command)),
                 arguments.work_ms,
             )
-            for name, command in VERSIONS.items()
+            for name, command in DAEMON_COMMANDS.items()
         }
         capacity_per_s = deployment.n_slots / arguments.work_ms * 1000
         loads = list(map(float, arguments.loads.split()))
         rows, costs = [], []
         for case in _iter_cases(fleets["chosen"], capacity_per_s, loads, arguments):
             for name, running in fleets.items():
-                answered, cost = _run(case, running, arguments.segment_s)
+                answered, cost = _run_segment(case, running, arguments.segment_s)
                 rows.extend(_iter_rows(case, name, answered))
                 costs.append((case.name, name, *cost))
     print_table(
@@ -102,7 +103,7 @@
     )
     print_table(
         f"{customer}: cost of the same segments",
-        ("case", "version", "daemons' processor ms a call", "retries % of calls"),
+        ("case", "version", "daemons' processor ms per call", "retries % of calls"),
         costs,
     )
 
@@ -116,27 +117,30 @@
     def load(factor: float) -> tuple[Stream, ...]:
         return _mixed_load(running, factor * capacity_per_s)
 
-    slow, quick = str(arguments.work_ms * SLOW_BY), str(arguments.work_ms)
+    slow_work_ms, normal_work_ms = (
+        str(arguments.work_ms * SLOWDOWN_FACTOR),
+        str(arguments.work_ms),
+    )
     for factor in loads:
         yield Case(f"load {factor:g}", load(factor))
     yield Case(
         "one target 10 times slower",
         load(FAULT_LOAD),
-        Fault(0, "work-ms", slow, quick),
+        Fault(0, "work-ms", slow_work_ms, normal_work_ms),
     )
     yield Case(
-        "one target fails, says it serves",
+        "one target fails but reports serving",
         load(FAULT_LOAD),
         Fault(1, "status", "500", "200"),
     )
-    yield Case("targets restart in turn", load(FAULT_LOAD), is_restarting=True)
-    small = _small_load(capacity_per_s)
+    yield Case("targets restart in turn", load(FAULT_LOAD), has_rolling_restart=True)
+    small = _small_customers_load(capacity_per_s)
     yield Case("small customers alone", small)
-    yield Case("large customer floods", small + _flood(running, capacity_per_s))
+    yield Case("large customer floods", small + _flood_load(running, capacity_per_s))
 
 
 def _mixed_load(running: Running, calls_per_s: float) -> tuple[Stream, ...]:
-    """Return urgent, normal and deferrable calls to services by their slots."""
+    """Return calls of each priority, spread over the services by their slots."""
     services = running.deployment.services
     paths = [s.name for s in services for _ in range(s.n_instances * s.n_slots)]
     return tuple(
@@ -147,28 +151,30 @@
             DEADLINES_MS[kind],
             "POST" if kind == "urgent" else "GET",
         )
-        for kind, share in SHARES.items()
+        for kind, share in PRIORITY_SHARES.items()
     )
 
 
-def _small_load(capacity_per_s: float) -> tuple[Stream, ...]:
+def _small_customers_load(capacity_per_s: float) -> tuple[Stream, ...]:
     paths = tuple(f"/{customer}/notes" for customer in SMALL_CUSTOMERS)
-    return (Stream("small customers", paths, SMALL_LOAD * capacity_per_s, 2000.0),)
+    return (
+        Stream("small customers", paths, SMALL_CUSTOMERS_LOAD * capacity_per_s, 2000.0),
+    )
 
 
-def _flood(running: Running, capacity_per_s: float) -> tuple[Stream, ...]:
+def _flood_load(running: Running, capacity_per_s: float) -> tuple[Stream, ...]:
     paths = (f"/{running.deployment.services[0].name}/normal",)
-    rate = FLOOD * SMALL_LOAD * capacity_per_s
+    rate = FLOOD_FACTOR * SMALL_CUSTOMERS_LOAD * capacity_per_s
     return (Stream("large customer", paths, rate, 2000.0),)
 
 
-def _run(
+def _run_segment(
     case: Case, running: Running, segment_s: float
 ) -> tuple[list[Answered], tuple[float, float]]:
-    """Run one segment and return its answers, processor ms a call and retries."""
+    """Run a segment; return its answers, processor ms per call and retries in %."""
     retries_before = _n_retries(running)
     processor_before_s = _processor_s(running)
-    answered = asyncio.run(_offer(case, running, segment_s))
+    answered = asyncio.run(_offer_with_fault(case, running, segment_s))
     n_calls = max(1, len(answered))
     processor_ms = (_processor_s(running) - processor_before_s) * 1000 / n_calls
     retries_percent = 100 * (_n_retries(running) - retries_before) / n_calls
@@ -176,25 +182,27 @@
     return answered, (processor_ms, retries_percent)
 
 
-async def _offer(case: Case, running: Running, segment_s: float) -> list[Answered]:
+async def _offer_with_fault(
+    case: Case, running: Running, segment_s: float
+) -> list[Answered]:
     addresses = [daemon.callers for daemon in running.daemons]
     restarts = None
-    if case.is_restarting:
-        restarts = asyncio.create_task(_restart_in_turn(running, segment_s))
+    if case.has_rolling_restart:
+        restarts = asyncio.create_task(_rolling_restart(running, segment_s))
     fault = case.fault
     if fault is not None:
-        await tell_target(running.targets[fault.target], fault.what, fault.value)
+        await tell_target(running.targets[fault.target], fault.setting, fault.value)
     answered = await offer(addresses, case.streams, segment_s, random.Random(SEED))
     if fault is not None:
         target = running.targets[fault.target]
-        await tell_target(target, fault.what, fault.value_after)
+        await tell_target(target, fault.setting, fault.restored_value)
     if restarts is not None:
         await restarts
     return answered
 
 
-async def _restart_in_turn(running: Running, segment_s: float) -> None:
-    """Let one target after the other drain and come back."""
+async def _rolling_restart(running: Running, segment_s: float) -> None:
+    """Drain each target in turn and return it to service."""
     for target in running.targets:
         await tell_target(target, "state", "draining")
         await asyncio.sleep(segment_s / len(running.targets))
--- a/benchmarks/choosing.py
+++ b/benchmarks/choosing.py
@@ -1,7 +1,8 @@
-"""What choosing a target costs, by the number of targets to choose from.
+"""Measure the cost of choosing a target, by the number of candidate targets.
 
-`python -m benchmarks.choosing` prints the processor time of one choice with its
-end, and that of finding a service's endpoints after one of the members changed.
+`python -m benchmarks.choosing` prints the processor time of choosing a target and
+recording the end of the call, and that of finding a service's endpoints in a rebuilt
+table and after a change of one member.
 """
 
 from __future__ import annotations
@@ -20,9 +21,9 @@
 from pepperstair_core.routing import EndpointTable
 
 _N_ZONES = 3
-_BETWEEN_CALLS_MS = 50.0
-_N_REPEATS = 2_000
-_N_TABLES = 200
+_CALL_INTERVAL_MS = 50.0
+_N_CHOICE_REPEATS = 2_000
+_N_TABLE_REPEATS = 200
 
 
 def main() -> None:
@@ -32,13 +33,13 @@
 
 
 def _measure(n_targets: int) -> None:
-    """Measure one of two services that have the same number of targets."""
+    """Measure one of two services with `n_targets` targets each."""
     members = [_member(i, ("ledger", "vault")[i % 2]) for i in range(2 * n_targets)]
     selector = parse_selector("service=ledger").unwrap()
     tables = [EndpointTable(members)]
     endpoints = tables[0].endpoints(selector)
     chooser = TargetChooser("zone-0", Random(1))
-    times_ms = count(0.0, _BETWEEN_CALLS_MS)
+    times_ms = count(0.0, _CALL_INTERVAL_MS)
 
     def choose() -> None:
         now_ms = next(times_ms)
@@ -46,17 +47,19 @@
         end = CallEnd(EndKind.GOOD, now_ms, 100.0, route="r")
         chooser.end(chosen, endpoints, end, now_ms)
 
-    def renew() -> None:
+    def update() -> None:
         members[0] = replace(members[0], sequence=members[0].sequence + 1)
         tables[0] = EndpointTable(members, previous=tables[0])
         tables[0].endpoints(selector)
 
-    choice_us = _time_us(choose, _N_REPEATS)
-    anew_us = _time_us(lambda: EndpointTable(members).endpoints(selector), _N_TABLES)
-    renew_us = _time_us(renew, _N_TABLES)
+    choice_us = _time_us(choose, _N_CHOICE_REPEATS)
+    rebuild_us = _time_us(
+        lambda: EndpointTable(members).endpoints(selector), _N_TABLE_REPEATS
+    )
+    update_us = _time_us(update, _N_TABLE_REPEATS)
     print(
         f"{n_targets} targets: choice {choice_us:.0f} us;"
-        f" endpoints anew {anew_us:.0f} us, after one change {renew_us:.0f} us"
+        f" endpoints rebuilt {rebuild_us:.0f} us, after one change {update_us:.0f} us"
     )
 
 
@@ -77,7 +80,7 @@
 
 
 def _time_us(work: Callable[[], Any], n_repeats: int) -> float:
-    """Return the mean processor time of a run, in microseconds."""
+    """Return the mean processor time of one call of `work`, in microseconds."""
     before_s = time.process_time()
     for _ in range(n_repeats):
         work()
--- a/benchmarks/http_exchange.py
+++ b/benchmarks/http_exchange.py
@@ -1,8 +1,8 @@
-"""`make bench-http`: what one HTTP exchange costs, and how much of it is h11.
+"""`make bench-http`: measure the cost of an HTTP exchange and the share of h11.
 
-Client and server share one process, so that the processor time of both sides is
-counted. Rounds of each variant are interleaved and the best round of each is shown,
-as other work on the machine only ever adds to a round.
+Client and server run in one process, so the processor time includes both sides. Rounds
+of the variants are interleaved, and the fastest round of each variant is shown, as
+other load on the machine can only slow a round down.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True)
 class Cost:
-    """What one exchange cost."""
+    """The average cost of one exchange in a round."""
 
     cpu_us: float
     n_page_faults: float
 
 
 class PlainProtocol(asyncio.Protocol):
-    """Receives as a plain asyncio.Protocol does, for a connection behind it."""
+    """Wraps a connection as an asyncio.Protocol, without the shared receive buffer."""
 
     def __init__(self, inner: ServerConnection | ClientConnection) -> None:
         self.inner = inner
@@ -53,13 +53,13 @@
 
 
 async def answer(exchange: Exchange) -> None:
-    """Answer with the request's body."""
+    """Echo the request body."""
     body = await exchange.body.read_all(1000)
     await exchange.respond(200, TEXT, body)
 
 
 async def open_pair(is_plain: bool) -> tuple[asyncio.Server, ClientConnection]:
-    """Return a server and a client connection to it."""
+    """Return a server and a client connected to it."""
     loop = asyncio.get_running_loop()
     http = HttpServer(answer, ServerLimits())
     wrap: Callable = PlainProtocol if is_plain else lambda inner: inner
@@ -73,20 +73,20 @@
 
 
 async def run_round(client: ClientConnection, n_exchanges: int) -> Cost:
-    """Run exchanges one after the other and return the cost of each."""
-    faults = resource.getrusage(resource.RUSAGE_SELF).ru_minflt
+    """Run sequential exchanges and return their average cost."""
+    page_faults = resource.getrusage(resource.RUSAGE_SELF).ru_minflt
     started_s = time.process_time()
     for _ in range(n_exchanges):
         client.start("POST", "/ledger/award", HEADERS, BODY)
         await client.read_head()
         await client.body.read_all(1000)
     spent_s = time.process_time() - started_s
-    faults = resource.getrusage(resource.RUSAGE_SELF).ru_minflt - faults
-    return Cost(1e6 * spent_s / n_exchanges, faults / n_exchanges)
+    page_faults = resource.getrusage(resource.RUSAGE_SELF).ru_minflt - page_faults
+    return Cost(1e6 * spent_s / n_exchanges, page_faults / n_exchanges)
 
 
 def run_h11(n_exchanges: int) -> tuple[float, float]:
-    """Return the processor time of h11 alone, on the client and server side."""
+    """Return the processor time of h11 per exchange, for client and server, in us."""
     client, server = h11.Connection(h11.CLIENT), h11.Connection(h11.SERVER)
     end = h11.EndOfMessage()
     client_s = server_s = 0.0
@@ -119,19 +119,19 @@
     plain_server, plain = await open_pair(is_plain=True)
     server, buffered = await open_pair(is_plain=False)
     costs: dict[str, list[Cost]] = {"plain": [], "shared": []}
-    floors = []
+    h11_costs_us = []
     for _ in range(n_rounds):
         costs["plain"].append(await run_round(plain, n_exchanges))
         costs["shared"].append(await run_round(buffered, n_exchanges))
-        floors.append(run_h11(n_exchanges))
+        h11_costs_us.append(run_h11(n_exchanges))
     names = {"plain": "plain asyncio.Protocol", "shared": "shared receive buffer"}
-    print("variant                    cpu us an exchange  page faults an exchange")
+    print("variant                       cpu us/exchange     page faults/exchange")
     for key, rounds in costs.items():
         best = min(rounds, key=lambda cost: cost.cpu_us)
-        faults = max(cost.n_page_faults for cost in rounds)
-        print(f"{names[key]:25}  {best.cpu_us:18.1f}  {faults:23.2f}")
-    client_us = min(floor[0] for floor in floors)
-    server_us = min(floor[1] for floor in floors)
+        page_faults = max(cost.n_page_faults for cost in rounds)
+        print(f"{names[key]:25}  {best.cpu_us:18.1f}  {page_faults:23.2f}")
+    client_us = min(cost_us[0] for cost_us in h11_costs_us)
+    server_us = min(cost_us[1] for cost_us in h11_costs_us)
     print(f"{'h11 alone, client side':25}  {client_us:18.1f}")
     print(f"{'h11 alone, server side':25}  {server_us:18.1f}")
     plain.close()
@@ -141,7 +141,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=10)
     parser.add_argument("--exchanges", type=int, default=1000, help="in each round")
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -1,7 +1,8 @@
-"""`make bench-idle`: resident memory of the daemon, import by import.
+"""`make bench-idle`: measure the resident memory of imports and idle daemons.
 
-Each row is a fresh interpreter that imports all rows above it as well, so that
-the growth of a row is what its import costs. The last rows are real daemons.
+Each row of the first group is a fresh interpreter that also runs the imports of the
+rows above, so the growth of a row is the cost of its import. The rows of
+`SEPARATE_IMPORTS` run their own imports only. The last rows are idle daemons.
 """
 
 from __future__ import annotations
@@ -13,10 +14,10 @@
 from .fleet import DaemonProcess, running_fleet, status_of, wait_until
 from .machine import describe_machine
 
-LEFT_OUT = "import pepperstaird.light_imports as l; l.block_imports()"
+BLOCK_IMPORTS = "import pepperstaird.light_imports as l; l.block_imports()"
 IMPORTS = (
     ("interpreter", "pass"),
-    ("libraries left out", LEFT_OUT),
+    ("unused libraries blocked", BLOCK_IMPORTS),
     ("argparse", "import argparse"),
     ("asyncio", "import asyncio"),
     ("msgpack", "import msgpack"),
@@ -25,14 +26,19 @@
     ("pepperstair_core", "import pepperstair_core.config, pepperstair_core.wire"),
     ("the whole daemon", "import pepperstaird.daemon"),
 )
-ALONE = (
-    ("whole daemon and cyclopts", f"{LEFT_OUT}\nimport pepperstaird.daemon, cyclopts"),
+SEPARATE_IMPORTS = (
+    (
+        "whole daemon and cyclopts",
+        f"{BLOCK_IMPORTS}\nimport pepperstaird.daemon, cyclopts",
+    ),
     ("asyncio with ssl", "import asyncio"),
-    ("nothing left out", "import asyncio, msgpack, h11, structlog"),
+    ("no libraries blocked", "import asyncio, msgpack, h11, structlog"),
+)
+PRINT_RESIDENT_KB = (
+    "; print([l for l in open('/proc/self/status') if 'VmRSS' in l][0].split()[1])"
 )
-TAIL = "; print([l for l in open('/proc/self/status') if 'VmRSS' in l][0].split()[1])"
 N_DAEMONS = 3
-SETTLE_S = 5.0
+IDLE_S = 5.0
 
 
 def main() -> None:
@@ -40,13 +46,13 @@
     print(f"make bench-idle; {describe_machine()}")
     print("import                      resident MB   growth MB")
     code = ""
-    before_mb = 0.0
+    previous_mb = 0.0
     for name, line in IMPORTS:
         code += f"{line}\n"
         resident_mb = measure_import(code)
-        print(f"{name:26}  {resident_mb:11.1f}  {resident_mb - before_mb:10.1f}")
-        before_mb = resident_mb
-    for name, line in ALONE:
+        print(f"{name:26}  {resident_mb:11.1f}  {resident_mb - previous_mb:10.1f}")
+        previous_mb = resident_mb
+    for name, line in SEPARATE_IMPORTS:
         print(f"{name:26}  {measure_import(line + chr(10)):11.1f}")
     with running_fleet() as fleet:
         fleet.start_platform()
@@ -56,20 +62,20 @@
             lambda: all(status_of(daemon).get("ready") for daemon in fleet.daemons),
             "every daemon ready",
         )
-        time.sleep(SETTLE_S)
+        time.sleep(IDLE_S)
         for daemon in fleet.daemons:
             print(f"idle daemon {daemon.vm:14}  {resident_mb_of(daemon):11.1f}")
 
 
 def measure_import(code: str) -> float:
-    """Return the resident memory of an interpreter that ran some imports."""
-    done = subprocess.run(
-        [sys.executable, "-c", code + "pass" + TAIL],
+    """Return the resident memory in MB of an interpreter that has run `code`."""
+    completed = subprocess.run(
+        [sys.executable, "-c", code + "pass" + PRINT_RESIDENT_KB],
         capture_output=True,
         text=True,
         check=True,
     )
-    return int(done.stdout) / 1000
+    return int(completed.stdout) / 1000
 
 
 def resident_mb_of(daemon: DaemonProcess) -> float:
--- a/benchmarks/neighbours.py
+++ b/benchmarks/neighbours.py
@@ -1,4 +1,8 @@
-"""`make bench-neighbours`: the rings of neighbours beside picks of each side."""
+"""`make bench-neighbours`: compare neighbour rings with neighbours picked by weight.
+
+Rings are what daemons use. The alternative picks the other members with the highest
+rendezvous weight of the pair.
+"""
 
 from __future__ import annotations
 
@@ -18,25 +22,27 @@
 
 
 def main() -> int:
-    """Print one row for each way and size."""
+    """Print one row per fleet size and method."""
     print(
         f"{'way':22}{'members':>8}{'degree':>8}{'max':>5}{'hops':>6}{'left':>7}{'min':>7}"
     )
     for n_members, n_zones in FLEETS:
         members = make_members(n_members, n_zones)
         for n_zone, n_fleet in ((2, 2), (4, 2)):
-            edges = union_of(members, ring_picker(members, n_zone, n_fleet))
-            report(f"rings {n_zone} + {n_fleet}", edges)
+            edges = undirected_edges(members, ring_picker(members, n_zone, n_fleet))
+            print_row(f"rings {n_zone} + {n_fleet}", edges)
         for n_zone, n_remote in ((1, 1), (2, 1), (3, 2)):
-            edges = union_of(members, pair_picker(members, n_zone, n_remote))
-            report(f"picks {n_zone} + {n_remote}", edges)
-    print("hops: farthest from one member; left: share of the survivors that still")
-    print(f"hang together when half died at once, mean and least of {N_SEEDS} draws")
+            edges = undirected_edges(members, pair_picker(members, n_zone, n_remote))
+            print_row(f"picks {n_zone} + {n_remote}", edges)
+    print("hops: greatest distance from 10 members; left, min: the largest component's")
+    print(
+        f"share of survivors after half die at once, mean and least of {N_SEEDS} draws"
+    )
     return 0
 
 
 def make_members(n_members: int, n_zones: int) -> list[Member]:
-    """Return living members spread over zones."""
+    """Return alive members spread evenly over zones."""
     return [
         Member(f"vm-{i}", 1, 0, MemberState.ALIVE, f"zone-{i % n_zones}", f"{i}", ())
         for i in range(n_members)
@@ -46,14 +52,14 @@
 def ring_picker(
     members: list[Member], n_zone: int, n_fleet: int
 ) -> Callable[[Member], Iterable[str]]:
-    """Return the choice that the product makes."""
+    """Return the function with which daemons choose neighbours."""
     return lambda own: choose_neighbours(own, members, n_zone, n_fleet)
 
 
 def pair_picker(
     members: list[Member], n_zone: int, n_remote: int
 ) -> Callable[[Member], Iterable[str]]:
-    """Return the choice of the highest weights of pairs, in the zone and beyond."""
+    """Return a function that picks by pair weight, in the own and in other zones."""
 
     def pick(own: Member) -> list[str]:
         def pair_weight(other: Member) -> int:
@@ -69,8 +75,10 @@
     return pick
 
 
-def union_of(members: list[Member], pick: Callable[[Member], Iterable[str]]) -> Edges:
-    """Return the edges that either end picks."""
+def undirected_edges(
+    members: list[Member], pick: Callable[[Member], Iterable[str]]
+) -> Edges:
+    """Return the edges that at least one of their ends picks."""
     edges: Edges = {member.vm: set() for member in members}
     for member in members:
         for other in pick(member):
@@ -79,12 +87,12 @@
     return edges
 
 
-def report(name: str, edges: Edges) -> None:
-    """Print what one way gives."""
+def print_row(name: str, edges: Edges) -> None:
+    """Print the graph measures of one method."""
     degrees = [len(others) for others in edges.values()]
     names = sorted(edges)
-    hops = max(len(rounds_from(edges, name, set(names))) - 1 for name in names[:10])
-    shares = [share_left(edges, random.Random(seed)) for seed in range(N_SEEDS)]
+    hops = max(len(flooding_rounds(edges, name, set(names))) - 1 for name in names[:10])
+    shares = [surviving_share(edges, random.Random(seed)) for seed in range(N_SEEDS)]
     mean = sum(shares) / len(shares)
     print(
         f"{name:22}{len(edges):8}{sum(degrees) / len(degrees):8.2f}{max(degrees):5}"
@@ -92,20 +100,20 @@
     )
 
 
-def share_left(edges: Edges, rng: random.Random) -> float:
-    """Return the share of survivors in the largest part when half have died."""
+def surviving_share(edges: Edges, rng: random.Random) -> float:
+    """Return the largest component's share of the survivors after half have died."""
     alive = set(rng.sample(sorted(edges), len(edges) // 2))
-    left = set(alive)
+    unvisited = set(alive)
     largest = 0
-    while left:
-        part = set().union(*rounds_from(edges, min(left), alive))
-        largest = max(largest, len(part))
-        left -= part
+    while unvisited:
+        component = set().union(*flooding_rounds(edges, min(unvisited), alive))
+        largest = max(largest, len(component))
+        unvisited -= component
     return largest / len(alive)
 
 
-def rounds_from(edges: Edges, start: str, alive: set[str]) -> list[set[str]]:
-    """Return who is reached from a member in each round of passing on."""
+def flooding_rounds(edges: Edges, start: str, alive: set[str]) -> list[set[str]]:
+    """Return the members first reached in each round of flooding from a member."""
     rounds = [{start}]
     seen = {start}
     while rounds[-1]:
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,7 +1,7 @@
-"""What the imports of a daemon cost before it can do anything.
+"""`make bench-start`: measure the processor time and memory of a daemon's imports.
 
-`python -m benchmarks.start` prints the median processor time and memory of starts of
-a Python without its site module, as the users' platform starts the daemon.
+`python -m benchmarks.start` prints the medians over several starts of Python without
+its site module, as the users' platform starts the daemon.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
 
 
 def main() -> None:
-    """Print one line."""
-    # The first one writes the bytecode that the others load.
-    _start()
-    starts = [_start() for _ in range(_N_STARTS)]
+    """Print the median processor time and memory of a start."""
+    # The first start writes the bytecode that the measured starts load.
+    _measure_start()
+    starts = [_measure_start() for _ in range(_N_STARTS)]
     time_ms = 1000 * statistics.median(time_s for time_s, _ in starts)
     memory_mb = statistics.median(memory_kb for _, memory_kb in starts) / 1024
     print(f"{_N_STARTS} starts: {time_ms:.0f} ms of processor time, {memory_mb:.1f} MB")
 
 
-def _start() -> tuple[float, float]:
-    """Return the seconds of processor time and the KB of memory of one start."""
+def _measure_start() -> tuple[float, float]:
+    """Return the processor time in seconds and the memory in KB of one start."""
     environment = {**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)}
     environment.pop("PYTHONDONTWRITEBYTECODE", None)
     command = [sys.executable, "-S", "-c", _IMPORTS]
-    ended = subprocess.run(
+    completed = subprocess.run(
         command, env=environment, capture_output=True, text=True, check=True
     )
-    time_s, memory_kb = ended.stdout.split()
+    time_s, memory_kb = completed.stdout.split()
     return float(time_s), float(memory_kb)
 
 
