--- a/benchmarks/convergence.py
+++ b/benchmarks/convergence.py
@@ -201,7 +201,7 @@
     for name, case in CASES.items():
         for round_index in range(n_changes if case is undisturbed else n_faults):
             for bench in benches:
-                # A fault costs the naive implementation seconds, so only a few are injected.
+                # A fault costs the naive implementation seconds, so a few suffice.
                 is_naive_limit_reached = (
                     round_index >= N_NAIVE_FAULTS_MAX and case is not undisturbed
                 )
--- a/benchmarks/neighbours.py
+++ b/benchmarks/neighbours.py
@@ -24,7 +24,7 @@
 def main() -> int:
     """Print one row per fleet size and method."""
     print(
-        f"{'way':22}{'members':>8}{'degree':>8}{'max':>5}{'hops':>6}{'left':>7}{'min':>7}"
+        f"{'method':22}{'members':>8}{'degree':>8}{'max':>5}{'hops':>6}{'left':>7}{'min':>7}"
     )
     for n_members, n_zones in FLEETS:
         members = make_members(n_members, n_zones)
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,7 +1,7 @@
-"""`make bench-start`: measure the processor time and memory of a daemon's imports.
+"""`make bench-start`: measure the cost of the imports at the start of a daemon.
 
-`python -m benchmarks.start` prints the medians over several starts of Python without
-its site module, as the users' platform starts the daemon.
+`python -m benchmarks.start` prints the median processor time and memory of starts of
+Python without its site module, as the users' platform starts the daemon.
 """
 
 from __future__ import annotations
