--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -20,14 +20,14 @@
 from .deployments import (
     DEPLOYMENTS,
     SMALL_CUSTOMERS,
-    Running,
+    RunningDeployment,
+    configure_target,
     start_deployment,
-    tell_target,
 )
 from .fleet import running_fleet, status_of
-from .load import Answered, Stream, offer, summarise
+from .load import CallResult, CallStream, send_load, summarise
 from .processes import processor_s
-from .report import print_run, print_table
+from .report import print_report_header, print_table
 
 SEED: Final = 1
 PRIORITY_SHARES: Final = {"urgent": 0.3, "normal": 0.5, "deferrable": 0.2}
@@ -53,7 +53,7 @@
     """One segment: its name, its load and the faults injected during it."""
 
     name: str
-    streams: tuple[Stream, ...]
+    streams: tuple[CallStream, ...]
     fault: Fault | None = None
     has_rolling_restart: bool = False
 
@@ -66,7 +66,7 @@
     parser.add_argument("--segment-s", type=float, default=6.0)
     parser.add_argument("--work-ms", type=float, default=400.0)
     arguments = parser.parse_args()
-    print_run(
+    print_report_header(
         f'make bench-calls DEPLOYMENTS="{arguments.deployments}" '
         f'LOADS="{arguments.loads}" SEGMENT_S={arguments.segment_s:g} '
         f"WORK_MS={arguments.work_ms:g}"
@@ -109,12 +109,12 @@
 
 
 def _iter_cases(
-    running: Running,
+    running: RunningDeployment,
     capacity_per_s: float,
     loads: Sequence[float],
     arguments: argparse.Namespace,
 ) -> Iterator[Case]:
-    def load(factor: float) -> tuple[Stream, ...]:
+    def load(factor: float) -> tuple[CallStream, ...]:
         return _mixed_load(running, factor * capacity_per_s)
 
     slow_work_ms, normal_work_ms = (
@@ -139,12 +139,14 @@
     yield Case("large customer floods", small + _flood_load(running, capacity_per_s))
 
 
-def _mixed_load(running: Running, calls_per_s: float) -> tuple[Stream, ...]:
+def _mixed_load(
+    running: RunningDeployment, calls_per_s: float
+) -> tuple[CallStream, ...]:
     """Return calls of each priority, spread over the services by their slots."""
     services = running.deployment.services
     paths = [s.name for s in services for _ in range(s.n_instances * s.n_slots)]
     return tuple(
-        Stream(
+        CallStream(
             kind,
             tuple(f"/{name}/{kind}" for name in paths),
             calls_per_s * share,
@@ -155,22 +157,26 @@
     )
 
 
-def _small_customers_load(capacity_per_s: float) -> tuple[Stream, ...]:
+def _small_customers_load(capacity_per_s: float) -> tuple[CallStream, ...]:
     paths = tuple(f"/{customer}/notes" for customer in SMALL_CUSTOMERS)
     return (
-        Stream("small customers", paths, SMALL_CUSTOMERS_LOAD * capacity_per_s, 2000.0),
+        CallStream(
+            "small customers", paths, SMALL_CUSTOMERS_LOAD * capacity_per_s, 2000.0
+        ),
     )
 
 
-def _flood_load(running: Running, capacity_per_s: float) -> tuple[Stream, ...]:
+def _flood_load(
+    running: RunningDeployment, capacity_per_s: float
+) -> tuple[CallStream, ...]:
     paths = (f"/{running.deployment.services[0].name}/normal",)
     rate = FLOOD_FACTOR * SMALL_CUSTOMERS_LOAD * capacity_per_s
-    return (Stream("large customer", paths, rate, 2000.0),)
+    return (CallStream("large customer", paths, rate, 2000.0),)
 
 
 def _run_segment(
-    case: Case, running: Running, segment_s: float
-) -> tuple[list[Answered], tuple[float, float]]:
+    case: Case, running: RunningDeployment, segment_s: float
+) -> tuple[list[CallResult], tuple[float, float]]:
     """Run a segment; return its answers, processor ms per call and retries in %."""
     retries_before = _n_retries(running)
     processor_before_s = _processor_s(running)
@@ -183,44 +189,46 @@
 
 
 async def _offer_with_fault(
-    case: Case, running: Running, segment_s: float
-) -> list[Answered]:
+    case: Case, running: RunningDeployment, segment_s: float
+) -> list[CallResult]:
     addresses = [daemon.callers for daemon in running.daemons]
     restarts = None
     if case.has_rolling_restart:
         restarts = asyncio.create_task(_rolling_restart(running, segment_s))
     fault = case.fault
     if fault is not None:
-        await tell_target(running.targets[fault.target], fault.setting, fault.value)
-    answered = await offer(addresses, case.streams, segment_s, random.Random(SEED))
+        await configure_target(
+            running.targets[fault.target], fault.setting, fault.value
+        )
+    answered = await send_load(addresses, case.streams, segment_s, random.Random(SEED))
     if fault is not None:
         target = running.targets[fault.target]
-        await tell_target(target, fault.setting, fault.restored_value)
+        await configure_target(target, fault.setting, fault.restored_value)
     if restarts is not None:
         await restarts
     return answered
 
 
-async def _rolling_restart(running: Running, segment_s: float) -> None:
+async def _rolling_restart(running: RunningDeployment, segment_s: float) -> None:
     """Drain each target in turn and return it to service."""
     for target in running.targets:
-        await tell_target(target, "state", "draining")
+        await configure_target(target, "state", "draining")
         await asyncio.sleep(segment_s / len(running.targets))
-        await tell_target(target, "state", "serving")
+        await configure_target(target, "state", "serving")
 
 
-def _n_retries(running: Running) -> int:
+def _n_retries(running: RunningDeployment) -> int:
     return sum(
         status_of(daemon).get("counters", {}).get("n_call_retries", 0)
         for daemon in running.daemons
     )
 
 
-def _processor_s(running: Running) -> float:
+def _processor_s(running: RunningDeployment) -> float:
     return sum(processor_s(daemon.process.pid) for daemon in running.daemons)
 
 
-def _iter_rows(case: Case, name: str, answered: list[Answered]) -> Iterator[tuple]:
+def _iter_rows(case: Case, name: str, answered: list[CallResult]) -> Iterator[tuple]:
     for stream in case.streams:
         summary = summarise(answered, stream.kind)
         yield (
--- a/benchmarks/control_bytes.py
+++ b/benchmarks/control_bytes.py
@@ -33,7 +33,7 @@
 from .fleet import DaemonProcess, Fleet, fetch, running_fleet, status_of, wait_until
 from .intents import apply_intent, sized_intent
 from .processes import processor_s, resident_mb
-from .report import fitted_line, print_run, print_table
+from .report import fitted_line, print_report_header, print_table
 
 N_ROUTES: Final = 200
 SETTLE_S: Final = 6.0
@@ -111,7 +111,7 @@
     parser.add_argument("--changes", type=int, default=10)
     parser.add_argument("--phase-s", type=float, default=10.0, help="length of a phase")
     arguments = parser.parse_args()
-    print_run(
+    print_report_header(
         f'make bench-control-bytes SIZES="{arguments.sizes}" '
         f"CHANGES={arguments.changes} PHASE_S={arguments.phase_s:g}"
     )
@@ -186,7 +186,7 @@
     version = apply_intent(accepting_daemon, CUSTOMER, document).version
 
     def is_in_force_everywhere() -> bool:
-        logs.read_on()
+        logs.read_new_lines()
         return all(
             logs.in_force_at_s(daemon.vm, CUSTOMER, version, since_s)
             for daemon in fleet.daemons
--- a/benchmarks/convergence.py
+++ b/benchmarks/convergence.py
@@ -26,7 +26,7 @@
     wait_until,
 )
 from .intents import apply_intent, sized_intent
-from .report import percentile, print_run, print_table
+from .report import percentile, print_report_header, print_table
 
 CUSTOMER: Final = "lantern"
 N_ROUTES: Final = 20
@@ -63,7 +63,7 @@
         """Return when the last live daemon had a version in force; None on time-out."""
         deadline_s = time.monotonic() + timeout_s
         while time.monotonic() < deadline_s:
-            self.logs.read_on()
+            self.logs.read_new_lines()
             in_force_s = [
                 self.logs.in_force_at_s(daemon.vm, CUSTOMER, version, since_s)
                 for daemon in self.fleet.daemons
@@ -153,7 +153,7 @@
         "--faults", type=int, default=5, help="changes under each kind of fault"
     )
     arguments = parser.parse_args()
-    print_run(
+    print_report_header(
         f'make bench-convergence SIZES="{arguments.sizes}" '
         f"CHANGES={arguments.changes} FAULTS={arguments.faults}"
     )
--- a/benchmarks/daemon_logs.py
+++ b/benchmarks/daemon_logs.py
@@ -37,7 +37,7 @@
         self._in_force: dict[str, list[_LoggedVersion]] = {}
         self._accepted: list[_LoggedVersion] = []
 
-    def read_on(self) -> None:
+    def read_new_lines(self) -> None:
         """Read the lines that were written since the last call."""
         for daemon in self._fleet.daemons:
             for entry in self._iter_new(daemon.log):
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Running:
+class RunningDeployment:
     """A running deployment: its fleet and the addresses of its targets."""
 
     deployment: Deployment
@@ -61,7 +61,9 @@
         return self.fleet.daemons
 
 
-def start_deployment(deployment: Deployment, fleet: Fleet, work_ms: float) -> Running:
+def start_deployment(
+    deployment: Deployment, fleet: Fleet, work_ms: float
+) -> RunningDeployment:
     """Start daemons and targets, and put the routes of every customer in force."""
     fleet.start_platform()
     instances = [
@@ -101,10 +103,10 @@
         lambda status: sum(map(_n_targets, status["members"])) == len(targets),
         "all targets known",
     )
-    return Running(deployment, fleet, targets)
+    return RunningDeployment(deployment, fleet, targets)
 
 
-async def tell_target(target: str, what: str, value: str) -> None:
+async def configure_target(target: str, what: str, value: str) -> None:
     """Set the `state`, `status` or `work-ms` of a target stand-in."""
     await fetch_async(target, "PUT", f"/stand-in/{what}", value.encode())
 
@@ -146,8 +148,8 @@
     "SAYAW",
     "SMALL_CUSTOMERS",
     "Deployment",
-    "Running",
+    "RunningDeployment",
     "Service",
     "start_deployment",
-    "tell_target",
+    "configure_target",
 ]
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -69,17 +69,17 @@
         self.process.kill()
         self.process.wait()
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Pause the process with SIGSTOP, which it can't catch."""
         self.process.send_signal(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Resume a paused process with SIGCONT."""
         self.process.send_signal(signal.SIGCONT)
 
 
 @dataclass(frozen=True)
-class StartedModule:
+class StandInProcess:
     """A stand-in that was started, and the file that its stderr is written to."""
 
     name: str
@@ -202,7 +202,7 @@
                 process.kill()
                 process.wait()
 
-    def _start_stand_in(self, module: str, *arguments: str) -> StartedModule:
+    def _start_stand_in(self, module: str, *arguments: str) -> StandInProcess:
         command = [sys.executable, "-m", module, *arguments]
         log = self.folder / f"{module}-{len(self.processes)}.log"
         with log.open("wb") as output:
@@ -214,7 +214,7 @@
                 env={**os.environ, "PYTHONPATH": str(ROOT)},
             )
         self.processes.append(process)
-        return StartedModule(" ".join(command[1:]), process, log)
+        return StandInProcess(" ".join(command[1:]), process, log)
 
 
 @contextlib.contextmanager
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stream:
+class CallStream:
     """Calls of one kind: their paths, their rate and their deadline."""
 
     kind: str
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class CallResult:
     """The outcome of one call; status 0 if it timed out or its connection failed."""
 
     kind: str
@@ -45,12 +45,12 @@
     p99_ms: float
 
 
-async def offer(
+async def send_load(
     addresses: Sequence[str],
-    streams: Sequence[Stream],
+    streams: Sequence[CallStream],
     duration_s: float,
     rng: random.Random,
-) -> list[Answered]:
+) -> list[CallResult]:
     """Send calls with Poisson arrivals for a duration and wait for all outcomes."""
     client = _Client(addresses)
     arrivals = sorted(_iter_arrivals(streams, duration_s, rng), key=lambda a: a[0])
@@ -66,7 +66,7 @@
     return answered
 
 
-def summarise(answered: Sequence[Answered], kind: str) -> Summary:
+def summarise(answered: Sequence[CallResult], kind: str) -> Summary:
     """Return goodput and latency of the calls of one kind."""
     calls = [call for call in answered if call.kind == kind]
     good_ms = [call.duration_ms for call in calls if call.is_in_time]
@@ -80,7 +80,9 @@
     )
 
 
-def _iter_arrivals(streams: Sequence[Stream], duration_s: float, rng: random.Random):
+def _iter_arrivals(
+    streams: Sequence[CallStream], duration_s: float, rng: random.Random
+):
     for stream in streams:
         at_s = rng.expovariate(stream.calls_per_s)
         while at_s < duration_s:
@@ -97,7 +99,7 @@
             address: [] for address in self._addresses
         }
 
-    async def call(self, stream: Stream, path: str, number: int) -> Answered:
+    async def call(self, stream: CallStream, path: str, number: int) -> CallResult:
         """Send one call and return its outcome."""
         address = self._addresses[number % len(self._addresses)]
         started_s = time.monotonic()
@@ -108,10 +110,10 @@
             status = 0
         duration_ms = (time.monotonic() - started_s) * 1000
         is_in_time = status == 200 and duration_ms <= stream.deadline_ms
-        return Answered(stream.kind, status, duration_ms, is_in_time)
+        return CallResult(stream.kind, status, duration_ms, is_in_time)
 
     async def _exchange(
-        self, address: tuple[str, int], stream: Stream, path: str, number: int
+        self, address: tuple[str, int], stream: CallStream, path: str, number: int
     ) -> int:
         connection = self._take_idle(address) or await connect(*address)
         try:
@@ -147,4 +149,4 @@
                 connection.close()
 
 
-__all__ = ["Answered", "Stream", "Summary", "offer", "summarise"]
+__all__ = ["CallResult", "CallStream", "Summary", "send_load", "summarise"]
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -11,7 +11,7 @@
 from .machine import describe_machine
 
 
-def print_run(command: str) -> None:
+def print_report_header(command: str) -> None:
     """Print the command, the commit and a description of the machine."""
     print(f"command  {command}")
     print(f"commit   {_git('rev-parse', '--short', 'HEAD')}{_dirty_mark()}")
@@ -78,4 +78,4 @@
     return completed.stdout.strip()
 
 
-__all__ = ["fitted_line", "percentile", "print_run", "print_table"]
+__all__ = ["fitted_line", "percentile", "print_report_header", "print_table"]
--- a/tests/test_process_at_most_once.py
+++ b/tests/test_process_at_most_once.py
@@ -79,9 +79,9 @@
 
     async def _freeze(self, index: int) -> None:
         daemon = self.fleet.daemons[index]
-        daemon.freeze()
+        daemon.pause()
         await asyncio.sleep(self.rng.uniform(0.3, 2.0))
-        daemon.wake()
+        daemon.resume()
 
     async def _drain(self) -> None:
         target = self.rng.choice(self.targets)
--- a/tests/test_process_configuration.py
+++ b/tests/test_process_configuration.py
@@ -33,11 +33,11 @@
     status, content = ask(daemons[1], f"/v1/wait/{CUSTOMER}?version=1&timeout_ms=9000")
     assert status == 200 and content["is_converged"] and not content["missing"]
     assert content["in_force"] == [daemon.vm for daemon in daemons]
-    daemons[3].freeze()
+    daemons[3].pause()
     assert apply_intent(daemons[1], CUSTOMER, award_document("vault")).version == 2
     wait = f"/v1/wait/{CUSTOMER}?version=2&timeout_ms=200"
     assert ask(daemons[1], wait)[1]["missing"] == [daemons[3].vm]
-    daemons[3].wake()
+    daemons[3].resume()
     wait_until(lambda: ask(daemons[1], wait)[1]["is_converged"], "version 2 everywhere")
     assert ask(daemons[1], f"/v1/wait/{CUSTOMER}?version=x")[0] == 400
     assert ask(daemons[1], "/v1/wait/nobody")[0] == 404
--- a/tests/test_process_floor.py
+++ b/tests/test_process_floor.py
@@ -52,13 +52,13 @@
     start_target(fleet, daemons[2], "ledger")
     start_target(fleet, daemons[2], "vault")
     put_in_force(fleet, award_document("ledger"), daemons[0])
-    daemons[1].freeze()
+    daemons[1].pause()
     applied = apply_intent(daemons[0], CUSTOMER, award_document("vault"))
     assert applied.version == 2
     wait_in_force([daemons[0], daemons[2]], 2)
     fleet.set_platform_faults(mode="outage")
     daemons[0].kill()
-    daemons[1].wake()
+    daemons[1].resume()
     restarted = fleet.restart_daemon(daemons[0])
     answers: list[str] = []
 
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -31,7 +31,7 @@
     start_target(fleet, daemons[1], "ledger")
     start_target(fleet, daemons[2], "vault")
     put_in_force(fleet, award_document("ledger"), daemons[1])
-    daemons[0].freeze()
+    daemons[0].pause()
     applied = apply_intent(daemons[1], CUSTOMER, award_document("vault"))
     wait_in_force(daemons[1:], applied.version)
 
@@ -41,7 +41,7 @@
             for index in range(20)
         ]
         await asyncio.sleep(3)
-        daemons[0].wake()
+        daemons[0].resume()
         return await asyncio.gather(*calls)
 
     answers = asyncio.run(call_frozen())
@@ -61,7 +61,7 @@
     target = start_target(fleet, daemons[0], "ledger")
     put_in_force(fleet, award_document("ledger"), daemons[1])
     assert served_by(call(daemons[1], "before")) == "ledger"
-    daemons[0].freeze()
+    daemons[0].pause()
 
     async def call_through_others() -> list[CallAnswer]:
         calls = [
@@ -75,7 +75,7 @@
         return answers
 
     answers = asyncio.run(call_through_others())
-    daemons[0].wake()
+    daemons[0].resume()
     wait_until(lambda: served_by(call(daemons[1], "after")) == "ledger", "ledger")
     assert {answer.status for answer in answers} <= {502, 503, 504}
     ran = [
--- a/tests/test_process_pause_both.py
+++ b/tests/test_process_pause_both.py
@@ -27,7 +27,7 @@
     target = start_target(fleet, daemons[0], "ledger")
     put_in_force(fleet, award_document("ledger"), daemons[1])
     assert served_by(call(daemons[1], "before")) == "ledger"
-    daemons[0].freeze()
+    daemons[0].pause()
 
     async def call_and_freeze() -> None:
         calls = [
@@ -42,13 +42,13 @@
             for index in range(20)
         ]
         await asyncio.sleep(0.2)
-        daemons[1].freeze()
+        daemons[1].pause()
         await asyncio.gather(*calls)
 
     asyncio.run(call_and_freeze())
-    daemons[0].wake()
+    daemons[0].resume()
     wait_until(lambda: served_by(call(daemons[2], "after")) == "ledger", "ledger")
-    daemons[1].wake()
+    daemons[1].resume()
     wait_until(lambda: served_by(call(daemons[1], "again")) == "ledger", "ledger")
     ran = [
         request_id
--- a/tests/test_started_modules.py
+++ b/tests/test_started_modules.py
@@ -7,15 +7,15 @@
 
 import pytest
 
-from benchmarks.fleet import StartedModule, free_port
+from benchmarks.fleet import StandInProcess, free_port
 
 
-def started(tmp_path, code: str) -> StartedModule:
+def started(tmp_path, code: str) -> StandInProcess:
     """Start a process that never listens."""
     log = tmp_path / "errors.log"
     with log.open("wb") as output:
         process = subprocess.Popen([sys.executable, "-c", code], stderr=output)
-    return StartedModule("stand_ins.target", process, log)
+    return StandInProcess("stand_ins.target", process, log)
 
 
 def test_stand_in_that_has_ended_is_reported_without_waiting(tmp_path):
