--- a/packages/pepperstair-core/pepperstair_core/burn/counts.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/counts.py
@@ -34,7 +34,7 @@
 _SHORT_SPAN_MS: Final = 3_600_000
 _LONG_BUCKET_MS: Final = 600_000
 
-_PRIORITIES: Final = {"urgent": 0, "normal": 3}
+_FIRST_COUNTER_OF_PRIORITY: Final = {"urgent": 0, "normal": 3}
 _LATE_KINDS: Final = frozenset({ErrorKind.TIMEOUT, ErrorKind.DEADLINE_BEFORE_RUN})
 # Errors caused by the caller, which do not reflect the quality of the service.
 _UNCOUNTED_KINDS: Final = frozenset(
@@ -59,8 +59,8 @@
 def classify_outcome(outcome: CallOutcome) -> OutcomeClass | None:
     """Return the outcome class of a call, or None if it does not count.
 
-    A call is late if its timeout ended it. Any other call has failed if it got no
-    complete response from the target, or a response with a status of 500 or above.
+    A call is late if its timeout ended it. Any other call has failed if the target's
+    whole answer was not forwarded, or if its status is 500 or above.
     """
     if outcome.error in _UNCOUNTED_KINDS:
         return None
@@ -80,7 +80,7 @@
 
     def add(self, outcome: CallOutcome, now_ms: int) -> None:
         """Count one call of urgent or normal priority."""
-        first_counter = _PRIORITIES.get(outcome.priority)
+        first_counter = _FIRST_COUNTER_OF_PRIORITY.get(outcome.priority)
         outcome_class = classify_outcome(outcome)
         if first_counter is None or outcome_class is None or not outcome.customer:
             return
@@ -105,9 +105,9 @@
         Calls may be counted between two items, so a caller that reads many customers
         can yield to the event loop in between.
         """
-        for name, counts in sorted(self._customers.items()):
+        for name, counter in sorted(self._customers.items()):
             version, objective = objectives.get(name, (0, Objectives()))
-            yield counts.snapshot(name, now_ms, version, objective)
+            yield counter.snapshot(name, now_ms, version, objective)
 
     def lived_ms(self, now_ms: int) -> int:
         """Return the time for which these counts have been kept."""
@@ -119,9 +119,9 @@
         Without the limit, documents for more and more new customers would make the
         memory of every daemon grow until it is killed.
         """
-        counts = self._customers.get(customer)
-        if counts is not None:
-            return counts
+        counter = self._customers.get(customer)
+        if counter is not None:
+            return counter
         if len(self._customers) >= N_CUSTOMERS_MAX:
             customer = OTHER_CUSTOMERS
         return self._customers.setdefault(customer, _CustomerCounter())
--- a/packages/pepperstair-core/pepperstair_core/burn/messages.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/messages.py
@@ -55,7 +55,7 @@
 
 
 class Convergence(Struct, frozen=True):
-    """The time since a change was in force everywhere, and how long that took."""
+    """One change: the time since it was in force everywhere, and how long it took."""
 
     age_ms: int
     duration_ms: int
--- a/packages/pepperstair-core/pepperstair_core/calls/admission.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/admission.py
@@ -85,7 +85,7 @@
         self._overloaded_since_ms = 0.0
         self._queues = {priority: FairQueue() for priority in PRIORITIES}
         self._waiting: dict[int, WaitingCall] = {}
-        self._latest_starts: list[tuple[float, int]] = []
+        self._wait_limits: list[tuple[float, int]] = []
         self._n_grants = 0
 
     @property
@@ -96,10 +96,10 @@
     @property
     def next_expiry_ms(self) -> float | None:
         """Return when `expire` is next due, or None if no call waits."""
-        latest = self._latest_starts
-        while latest and latest[0][1] not in self._waiting:
-            heapq.heappop(latest)
-        return latest[0][0] if latest else None
+        limits = self._wait_limits
+        while limits and limits[0][1] not in self._waiting:
+            heapq.heappop(limits)
+        return limits[0][0] if limits else None
 
     def arrive(self, call: WaitingCall, now_ms: float) -> list[Verdict]:
         """Admit or queue a new call, or refuse it or the call that it displaces."""
@@ -144,11 +144,12 @@
         """Refuse the calls that can no longer be answered in time.
 
         They are refused as soon as that is certain rather than at their deadline, so
-        that the caller still has time to go elsewhere.
+        that the caller still has time to go elsewhere. A call that has only become
+        late stays queued if no other call waits.
         """
         verdicts: list[Verdict] = []
         while (expiry_ms := self.next_expiry_ms) is not None and expiry_ms <= now_ms:
-            _, ticket = heapq.heappop(self._latest_starts)
+            _, ticket = heapq.heappop(self._wait_limits)
             call = self._waiting[ticket]
             self._remove(call)
             if self._may_still_wait(call, now_ms):
@@ -313,7 +314,7 @@
         self._waiting[call.ticket] = call
         self._queues[call.priority].push(call, self._order(call, is_late))
         entry = (self._wait_limit_ms(call, is_late), call.ticket)
-        heapq.heappush(self._latest_starts, entry)
+        heapq.heappush(self._wait_limits, entry)
 
     def _remove(self, call: WaitingCall) -> None:
         del self._waiting[call.ticket]
@@ -322,10 +323,10 @@
     def _refuse(self, call: WaitingCall, cause: RefusalCause, now_ms: float) -> Refused:
         """Return the refusal of a call, with the time after which to retry.
 
-        This is the time in which the queue should drain or, if the overload has
-        lasted longer than that, as long again as it has lasted: an overload of
-        seconds won't end within a few hundred milliseconds, and a caller that is
-        refused twice is worse off than one that is given a realistic time.
+        This is the expected time until the queue is empty or, if that is longer, the
+        time for which the overload has lasted: an overload of seconds won't end within
+        a few hundred milliseconds, and a caller that is refused twice is worse off than
+        one that is given a realistic time.
         """
         self._late.discard(call.ticket)
         if now_ms - self._last_refused_ms > OVERLOAD_GAP_MS:
--- a/packages/pepperstair-core/pepperstair_core/calls/call_ends.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/call_ends.py
@@ -23,7 +23,7 @@
     """The end of a call whose target was chosen at `start_ms`.
 
     `latency_ms` is the time to the head of its answer, without the wait for a slot;
-    `retry_after_ms` is the time that a refusal asks for, or 0.
+    `retry_after_ms` is the delay that a refusal requests before a retry, or 0.
     """
 
     kind: EndKind
--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -37,8 +37,8 @@
 QUICK_SHARE: Final = 0.6
 # The age of a call that may be queued says little about the speed of its target.
 QUEUED_AGE_WEIGHT: Final = 0.25
-FORGOTTEN_AFTER_MS: Final = 60_000
-N_REMEMBERED_MAX: Final = 2_000
+EVICTED_AFTER_MS: Final = 60_000
+N_TRACKED_MAX: Final = 2_000
 # A daemon that starts discovers all targets within some seconds: they are announced
 # every 1.5 s and the announcements are relayed by one or two other daemons.
 JOINING_MS: Final = 5_000
@@ -211,7 +211,7 @@
         return Ejection(endpoint.key, health.n_errors, period_ms)
 
     def _may_eject(self, endpoint: Endpoint, endpoints: Sequence[Endpoint]) -> bool:
-        """Return whether one more target may be ejected.
+        """Return whether one more target of a service may be ejected.
 
         A fault on this daemon's own side makes every target look broken. If all were
         ejected, the service would be unavailable although its targets are healthy.
@@ -246,27 +246,29 @@
         if not self._restricted:
             return (), ()
         self._drop_restored(now_ms)
-        aside = [
+        restricted = [
             (health.ejected_until_ms, key, health)
             for key, health in self._restricted.items()
             if key in group.by_key
         ]
-        avoided = {key for _, key, health in aside if health.avoided_until_ms > now_ms}
-        ejected = sorted(item[:2] for item in aside if item[2].is_ejected)
+        avoided = {
+            key for _, key, health in restricted if health.avoided_until_ms > now_ms
+        }
+        ejected = sorted(item[:2] for item in restricted if item[2].is_ejected)
         if not ejected:
             return (), avoided
         first = group.by_key[ejected[0][1]]
-        n_back = max(0, len(ejected) - _n_ejected_max(group.endpoints, first))
-        return {key for _, key in ejected[n_back:]}, avoided
+        n_reused = max(0, len(ejected) - _n_ejected_max(group.endpoints, first))
+        return {key for _, key in ejected[n_reused:]}, avoided
 
     def _drop_restored(self, now_ms: float) -> None:
         """Drop the restrictions of targets that are in full use again."""
-        over = [
+        restored = [
             key
             for key, health in self._restricted.items()
             if not health.is_ejected and health.avoided_until_ms <= now_ms
         ]
-        for key in over:
+        for key in restored:
             del self._restricted[key]
 
     def _pick(
@@ -288,9 +290,9 @@
         """
         near, far = candidates
         if not near:
-            is_there = bool(group.near)
+            has_near = bool(group.near)
             self.n_cross_zone[
-                CrossZoneCause.EXCLUDED if is_there else CrossZoneCause.NO_TARGET
+                CrossZoneCause.EXCLUDED if has_near else CrossZoneCause.NO_TARGET
             ] += 1
             return self._better_of_two(far, wait_of)
         if not far:
@@ -358,7 +360,7 @@
             known[key] = TargetHealth(now_ms, is_new=is_new)
         for endpoint in endpoints:
             known[endpoint.key].seen_ms = now_ms
-        if len(known) > N_REMEMBERED_MAX:
+        if len(known) > N_TRACKED_MAX:
             self._evict_unseen(now_ms)
 
     def _evict_unseen(self, now_ms: float) -> None:
@@ -369,7 +371,7 @@
         self._health = {
             key: health
             for key, health in self._health.items()
-            if health.n_in_flight or now_ms - health.seen_ms < FORGOTTEN_AFTER_MS
+            if health.n_in_flight or now_ms - health.seen_ms < EVICTED_AFTER_MS
         }
         self._groups.clear()
         for key in [key for key in self._restricted if key not in self._health]:
@@ -381,8 +383,8 @@
     return near_fill > FULL_ZONE_MARGIN + wait_of(far, is_speed_counted=False)
 
 
-def _n_ejected_max(endpoints: Sequence[Endpoint], of: Endpoint) -> int:
-    allowed = len(endpoints) * of.policy.ejected_percent_max // 100
+def _n_ejected_max(endpoints: Sequence[Endpoint], endpoint: Endpoint) -> int:
+    allowed = len(endpoints) * endpoint.policy.ejected_percent_max // 100
     return min(allowed, len(endpoints) - 1)
 
 
--- a/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
@@ -14,8 +14,9 @@
 if TYPE_CHECKING:
     from ..routing import Endpoint
 
-# A target is used like any other up to a failure rate of the mean of all targets times
-# this factor plus this rate: a rate over ten calls varies by a third of itself or more.
+# Up to this failure rate a target is used like any other: the mean rate of all targets
+# times the factor, plus the rate. A rate over ten calls varies by a third of itself or
+# more.
 TOLERATED_FAILURE_FACTOR: Final = 1.5
 TOLERATED_FAILURE_RATE: Final = 0.05
 # How failures above that rate count: a target that fails another tenth of its calls is
@@ -41,7 +42,7 @@
     """
 
     def __call__(self, endpoint: Endpoint, *, is_speed_counted: bool = True) -> float:
-        """Return the wait or, without `is_speed_counted`, the fill level."""
+        """Return the wait or, without `is_speed_counted`, the calls per slot."""
 
 
 def make_wait_of(
--- a/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
@@ -14,6 +14,7 @@
 
 from msgspec import Struct
 
+# In mean service times.
 DEBT_MAX: Final = 20.0
 
 Order = tuple[int, float]
@@ -51,8 +52,8 @@
 class FairQueue:
     """The waiting calls of one priority.
 
-    Customers take turns; a customer's own calls are sorted by the order with which
-    they are pushed, lowest first.
+    Customers take turns; a customer's own calls are sorted by the `order` that is
+    passed to `push`, lowest first.
     """
 
     def __init__(self) -> None:
--- a/packages/pepperstair-core/pepperstair_core/calls/outcome.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/outcome.py
@@ -1,4 +1,4 @@
-"""The outcome of a call, as counted by the burn rate report and the metrics."""
+"""The outcome of a call, as counted by the burn report and the metrics."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-core/pepperstair_core/calls/pacing.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/pacing.py
@@ -5,8 +5,8 @@
 Look-ups then take 0.3 s although their target answered in 40 ms, and the calls that
 wait for them hold slots meanwhile. If large answers are written in parts, at slightly
 less than the link's rate, small answers are sent in the gaps. With 66 VMs on such links
-and 31 map packs a second, the 75th percentile of look-ups over ten periods of 3 s is 74
-to 253 ms with pacing and 142 to 498 ms without.
+and 31 map packs a second, the 75th percentile of the look-up times in ten periods of
+3 s ranges from 74 to 253 ms with pacing and from 142 to 498 ms without.
 """
 
 from __future__ import annotations
--- a/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
@@ -21,7 +21,7 @@
 # From this many crashes on a request runs beside no other suspect, so that the next
 # crash identifies the one that caused it.
 N_CRASHES_ISOLATED: Final = 2
-# First quarantine; doubled with each further crash.
+# Duration of the first quarantine; doubled with each further crash.
 QUARANTINE_MS: Final = 600_000
 QUARANTINE_MAX_MS: Final = 86_400_000
 # How long crashes count that are too few for a quarantine.
@@ -73,7 +73,7 @@
     >>> for crash_id in ("vm-1/1", "vm-2/1", "vm-3/1"):
     ...     charged = quarantine.record_crash([b"poison"], crash_id, now_ms=0)
     >>> quarantine.trust_level(b"poison", now_ms=0)
-    <Standing.QUARANTINED: 'quarantined'>
+    <TrustLevel.QUARANTINED: 'quarantined'>
     """
 
     def __init__(self, n_tracked_max: int = N_TRACKED_MAX) -> None:
@@ -185,7 +185,7 @@
         return 0 if self._is_expired(record, now_ms) else record.n_crashes
 
     def _is_expired(self, record: _Record, now_ms: float) -> bool:
-        """Return whether the crashes are too few for a quarantine and out of date."""
+        """Return whether the crashes, too few for a quarantine, no longer count."""
         is_quarantined = record.n_crashes >= N_CRASHES_MAX
         return not is_quarantined and now_ms >= record.crashed_ms + RECORD_KEPT_MS
 
--- a/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
@@ -11,9 +11,9 @@
 # Weight of the newest outcome in a route's failure rate, which covers about fifty calls
 # to all targets.
 FAILURE_RATE_WEIGHT: Final = 0.02
-# A target is ejected after so many errors in a row that, at the failure rate of all
-# targets, they have less than this probability. The rate is capped at the second value,
-# with which a target is ejected after 66 errors in a row and thus still within seconds.
+# Errors in a row eject a target if they are less probable than this at the route's
+# failure rate over all targets. That rate is capped at `FAILURE_RATE_MAX`, at which 66
+# errors in a row eject a target, so that this still happens within seconds.
 CHANCE_STREAK_PROBABILITY_MAX: Final = 0.001
 FAILURE_RATE_MAX: Final = 0.9
 N_ROUTES_MAX: Final = 1_000
--- a/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
@@ -99,7 +99,7 @@
     >>> memory = RunMemory(n_runs_max=10)
     >>> key = CallKey(Sender("vm-1", 7), 1)
     >>> memory.begin(key, sequence=1, time_left_ms=2000, now_ms=0)
-    <Admission.TAKEN: 'taken'>
+    <RunAdmission.TAKEN: 'taken'>
     >>> memory.look_up(key, sequence=1, now_ms=5).state
     <RunState.RUNNING: 'running'>
     """
@@ -110,8 +110,8 @@
         self._runs: dict[CallKey, _Run] = {}
         self._expiries: list[tuple[int, int, CallKey]] = []
         self._n_expiries = 0
-        self._forgotten_ids: dict[Sender, int] = {}
-        self._forgotten_start_id = 0
+        self._highest_evicted_ids: dict[Sender, int] = {}
+        self._highest_evicted_start_id = 0
         self.n_kept_bytes = 0
 
     def __len__(self) -> int:
@@ -122,16 +122,16 @@
     ) -> RunAdmission:
         """Accept an arriving call unless it is a repetition or the memory is full.
 
-        `sequence` is that of the stream. A call that was reported as not run may be
-        sent again on the stream on which it was looked up, or on a later one; a head
-        on an earlier stream is the delayed original.
+        `sequence` is the sequence number of the stream. A call that was reported as
+        not run may be sent again on the stream on which it was looked up, or on a later
+        one; a head on an earlier stream is the delayed original.
         """
         self._evict_expired(now_ms)
         run = self._runs.get(key)
         if run is not None:
             if run.state is not RunState.NEVER_RUN or sequence < run.sequence:
                 return RunAdmission.REPEATED
-        elif self._is_forgotten(key):
+        elif self._may_have_been_evicted(key):
             return RunAdmission.REPEATED
         if len(self._runs) >= self._n_runs_max:
             return RunAdmission.FULL
@@ -163,14 +163,15 @@
 
         A call that has not arrived is recorded as never run, because its head may
         still arrive on the lost stream and would run after the caller was told that
-        it had not.
+        it had not. The state is unknown if the call may have been evicted, or if too
+        many calls are recorded.
         """
         self._evict_expired(now_ms)
         run = self._runs.get(key)
         if run is not None:
             run.sequence = max(run.sequence, sequence)
             return LookupResult(run.state, run.answer)
-        if self._is_forgotten(key) or len(self._runs) >= 2 * self._n_runs_max:
+        if self._may_have_been_evicted(key) or len(self._runs) >= 2 * self._n_runs_max:
             return LookupResult(RunState.UNKNOWN)
         self._add(key, RunState.NEVER_RUN, sequence, now_ms + FORGET_MARGIN_MS)
         return LookupResult(RunState.NEVER_RUN)
@@ -197,7 +198,7 @@
                 continue
             self._drop_answer(run)
             del self._runs[key]
-            self._note_forgotten(key)
+            self._record_eviction(key)
 
     def _iter_expired(self, now_ms: int) -> Iterator[CallKey]:
         while self._expiries and self._expiries[0][0] <= now_ms:
@@ -208,19 +209,21 @@
             self.n_kept_bytes -= run.answer.n_bytes
             run.answer = None
 
-    def _note_forgotten(self, key: CallKey) -> None:
-        ids = self._forgotten_ids
+    def _record_eviction(self, key: CallKey) -> None:
+        ids = self._highest_evicted_ids
         ids[key.sender] = max(ids.pop(key.sender, 0), key.call_id)
         if len(ids) > N_SENDERS_MAX:
             oldest = next(iter(ids))
             del ids[oldest]
-            self._forgotten_start_id = max(self._forgotten_start_id, oldest.start_id)
-
-    def _is_forgotten(self, key: CallKey) -> bool:
-        forgotten_id = self._forgotten_ids.get(key.sender)
-        if forgotten_id is None:
-            return key.sender.start_id <= self._forgotten_start_id
-        return key.call_id <= forgotten_id
+            self._highest_evicted_start_id = max(
+                self._highest_evicted_start_id, oldest.start_id
+            )
+
+    def _may_have_been_evicted(self, key: CallKey) -> bool:
+        highest_evicted_id = self._highest_evicted_ids.get(key.sender)
+        if highest_evicted_id is None:
+            return key.sender.start_id <= self._highest_evicted_start_id
+        return key.call_id <= highest_evicted_id
 
 
 __all__ = [
--- a/packages/pepperstair-core/pepperstair_core/calls/target_health.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_health.py
@@ -29,7 +29,12 @@
 
 
 class TargetHealth:
-    """The health of one target as this daemon sees it."""
+    """The health of one target as this daemon sees it.
+
+    Until `avoided_until_ms` the target gets calls only if no other one is usable. If
+    ejected, it gets one call as a probe from `ejected_until_ms` on. `seen_ms` is when
+    it was last among the endpoints.
+    """
 
     __slots__ = (
         "_failure_rate",
@@ -192,9 +197,9 @@
         return period_ms
 
 
-def _decayed(seen: float, age_ms: float) -> float:
-    """Return a value decayed by its age."""
-    return seen * 0.5 ** (age_ms / LATENCY_HALF_LIFE_MS)
+def _decayed(value: float, age_ms: float) -> float:
+    """Return a latency or a rate decayed by its age."""
+    return value * 0.5 ** (age_ms / LATENCY_HALF_LIFE_MS)
 
 
 __all__ = [
--- a/packages/pepperstair-core/pepperstair_core/intent.py
+++ b/packages/pepperstair-core/pepperstair_core/intent.py
@@ -128,7 +128,7 @@
 
 
 class LabelOverride(Struct, frozen=True):
-    """Labels that operators set on a workload, replacing those it announced."""
+    """Labels that operators set on a workload, replacing announced ones by key."""
 
     workload: Annotated[
         str, Option("Name of the VM or target that the labels are set on.")
@@ -189,7 +189,7 @@
 def iter_intent_faults(intent: Intent) -> Iterator[Fault]:
     """Yield every fault of a parsed document.
 
-    A route whose service is missing has no destination for its requests. It is a
+    A route whose service is missing has no destination for its requests. This is a
     fault of the document, so such a route never reaches a proxy.
     """
     if not is_label_name(intent.customer):
--- a/packages/pepperstair-core/pepperstair_core/routing.py
+++ b/packages/pepperstair-core/pepperstair_core/routing.py
@@ -157,7 +157,7 @@
     members change far less often than calls arrive.
     """
 
-    __slots__ = ("_chosen", "_members", "_overrides", "_policies", "_reusable")
+    __slots__ = ("_selected", "_members", "_overrides", "_policies", "_reusable")
 
     def __init__(
         self,
@@ -174,10 +174,10 @@
         self._members = tuple(members)
         self._overrides = overrides or {}
         self._policies = policies
-        self._chosen: dict[tuple[Selector, str], _ChosenEndpoints] = {}
-        self._reusable: dict[tuple[Selector, str], _ChosenEndpoints] = {}
-        if previous is not None and previous._is_for(self._overrides, policies):
-            self._reusable = previous._chosen or previous._reusable
+        self._selected: dict[tuple[Selector, str], _SelectedEndpoints] = {}
+        self._reusable: dict[tuple[Selector, str], _SelectedEndpoints] = {}
+        if previous is not None and previous._was_built_with(self._overrides, policies):
+            self._reusable = previous._selected or previous._reusable
 
     def endpoints(self, selector: Selector, customer: str = "") -> tuple[Endpoint, ...]:
         """Return the endpoints that a service's selector matches, in order of `key`.
@@ -185,35 +185,39 @@
         Each carries the customer's policy for calls to it. The same tuple is returned
         until one of its endpoints changes.
         """
-        chosen = self._chosen.get((selector, customer))
-        if chosen is None:
-            before = self._reusable.get((selector, customer), _NOTHING_CHOSEN)
-            chosen = self._choose(selector, customer, before)
-            self._chosen[(selector, customer)] = chosen
-        return chosen.endpoints
-
-    def _is_for(self, overrides: Mapping[str, Labels], policies: PolicyTable) -> bool:
+        selected = self._selected.get((selector, customer))
+        if selected is None:
+            before = self._reusable.get((selector, customer), _NONE_SELECTED)
+            selected = self._select(selector, customer, before)
+            self._selected[(selector, customer)] = selected
+        return selected.endpoints
+
+    def _was_built_with(
+        self, overrides: Mapping[str, Labels], policies: PolicyTable
+    ) -> bool:
         return self._overrides == overrides and self._policies == policies
 
-    def _choose(
-        self, selector: Selector, customer: str, before: _ChosenEndpoints
-    ) -> _ChosenEndpoints:
+    def _select(
+        self, selector: Selector, customer: str, before: _SelectedEndpoints
+    ) -> _SelectedEndpoints:
         policy_of = lambda labels: self._policies.find(customer, labels)
         by_vm: dict[str, tuple[Member, tuple[Endpoint, ...]]] = {}
         for member in self._members:
             known = before.by_vm.get(member.vm)
             if known is None or known[0] is not member:
-                chosen = iter_endpoints((member,), selector, self._overrides, policy_of)
-                known = (member, tuple(chosen))
+                selected = iter_endpoints(
+                    (member,), selector, self._overrides, policy_of
+                )
+                known = (member, tuple(selected))
             by_vm[member.vm] = known
         found = [item for _, endpoints in by_vm.values() for item in endpoints]
         endpoints = tuple(sorted(found, key=_endpoint_order))
         if endpoints == before.endpoints:
             endpoints = before.endpoints
-        return _ChosenEndpoints(endpoints, by_vm)
+        return _SelectedEndpoints(endpoints, by_vm)
 
 
-class _ChosenEndpoints(Struct, frozen=True):
+class _SelectedEndpoints(Struct, frozen=True):
     """The endpoints that a selector matches: sorted by key, and grouped by VM.
 
     `by_vm` maps the name of a VM to its member record and the member's endpoints.
@@ -225,7 +229,7 @@
     )
 
 
-_NOTHING_CHOSEN: Final = _ChosenEndpoints()
+_NONE_SELECTED: Final = _SelectedEndpoints()
 
 
 def iter_endpoints(
--- a/packages/pepperstair-core/pepperstair_core/schema.py
+++ b/packages/pepperstair-core/pepperstair_core/schema.py
@@ -172,37 +172,37 @@
     return cls(**values)
 
 
-def _placeholder(expected: Any) -> Any:
+def _placeholder(hint: Any) -> Any:
     """Return a valid value of a type, in place of one that could not be read."""
-    if _is_struct(expected):
-        required = (item for item in _fields_of(expected) if item.is_required)
-        return expected(**{item.name: _placeholder(item.hint) for item in required})
-    return (typing.get_origin(expected) or expected)()
+    if _is_struct(hint):
+        required = (item for item in _fields_of(hint) if item.is_required)
+        return hint(**{item.name: _placeholder(item.hint) for item in required})
+    return (typing.get_origin(hint) or hint)()
 
 
 def _read_value(
-    expected: Any, value: Any, where: str, option: Option, faults: list[Fault]
+    hint: Any, value: Any, where: str, option: Option, faults: list[Fault]
 ) -> Any:
-    if _is_struct(expected):
-        return _read_table(expected, value, where, faults)
-    origin = typing.get_origin(expected)
+    if _is_struct(hint):
+        return _read_table(hint, value, where, faults)
+    origin = typing.get_origin(hint)
     if origin is tuple:
-        return _read_list(expected, value, where, option, faults)
+        return _read_list(hint, value, where, option, faults)
     if origin in (types.UnionType, typing.Union):
-        inner = next(a for a in typing.get_args(expected) if a is not type(None))
+        inner = next(a for a in typing.get_args(hint) if a is not type(None))
         return _read_value(inner, value, where, option, faults)
     if origin is dict:
         return _read_strings(value, where, faults)
-    return _read_scalar(expected, value, where, option, faults)
+    return _read_scalar(hint, value, where, option, faults)
 
 
 def _read_list(
-    expected: Any, value: Any, where: str, option: Option, faults: list[Fault]
+    hint: Any, value: Any, where: str, option: Option, faults: list[Fault]
 ) -> tuple[Any, ...]:
     if not isinstance(value, (list, tuple)):
         faults.append(Fault(where, f"a list, not {_short_repr(value)}"))
         return ()
-    inner = typing.get_args(expected)[0]
+    inner = typing.get_args(hint)[0]
     return tuple(
         _read_value(inner, item, f"{where}[{index}]", option, faults)
         for index, item in enumerate(value)
@@ -222,15 +222,13 @@
 
 
 def _read_scalar(
-    expected: Any, value: Any, where: str, option: Option, faults: list[Fault]
+    hint: Any, value: Any, where: str, option: Option, faults: list[Fault]
 ) -> Any:
-    if expected is float and type(value) is int:
+    if hint is float and type(value) is int:
         value = float(value)
-    if type(value) is not expected:
-        faults.append(
-            Fault(where, f"{_TYPE_PHRASES[expected]}, not {_short_repr(value)}")
-        )
-        return _placeholder(expected)
+    if type(value) is not hint:
+        faults.append(Fault(where, f"{_TYPE_PHRASES[hint]}, not {_short_repr(value)}"))
+        return _placeholder(hint)
     if option.text_format is not None and not option.text_format.accepts(value):
         faults.append(
             Fault(where, f"{option.text_format.expected}, not {_short_repr(value)}")
@@ -240,14 +238,10 @@
         faults.append(Fault(where, f"{alternatives}, not {_short_repr(value)}"))
     if option.minimum is not None and value < option.minimum:
         limit = f"at least {option.minimum}"
-        faults.append(
-            Fault(where, f"{_TYPE_PHRASES[expected]} of {limit}, not {value}")
-        )
+        faults.append(Fault(where, f"{_TYPE_PHRASES[hint]} of {limit}, not {value}"))
     if option.maximum is not None and value > option.maximum:
         limit = f"at most {option.maximum}"
-        faults.append(
-            Fault(where, f"{_TYPE_PHRASES[expected]} of {limit}, not {value}")
-        )
+        faults.append(Fault(where, f"{_TYPE_PHRASES[hint]} of {limit}, not {value}"))
     return value
 
 
