--- a/packages/pepperstair-core/pepperstair_core/calls/__init__.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/__init__.py
@@ -1,4 +1,4 @@
-"""Call decisions: target choice, admission, retries, and retained answers."""
+"""Call decisions: target choice, admission, retries, and kept answers."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-core/pepperstair_core/calls/admission.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/admission.py
@@ -203,11 +203,11 @@
         """
         if self._times.is_short(call):
             return True
-        place = PRIORITIES.index(call.priority)
+        index = PRIORITIES.index(call.priority)
         return any(
             call.arrived_ms - self._last_arrived_ms_of[less_urgent]
             < LESS_URGENT_RECENT_MS
-            for less_urgent in PRIORITIES[place + 1 :]
+            for less_urgent in PRIORITIES[index + 1 :]
         )
 
     def _is_late(self, call: WaitingCall, now_ms: float) -> bool:
--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -20,6 +20,7 @@
 if TYPE_CHECKING:
     from ..routing import Endpoint
 
+# How long a target is avoided after a refusal, unless that requests a shorter delay.
 AVOIDED_MS: Final = 1_000
 # Shorter than `AVOIDED_MS`, as each answer updates the reported load of a full target.
 FULL_AVOIDED_MS: Final = 50
@@ -28,9 +29,9 @@
 ZONE_MARGIN: Final = 0.25
 ZONE_MARGIN_PER_BYTE: Final = 1e-5
 # Up to this expected wait a target has a free slot and a call need not queue.
-ROOM_WAIT: Final = 1.0
-# How much fuller, as a share of its slots, a target of the own zone must be than one
-# of another zone that has no free slot either.
+FREE_SLOT_WAIT_MAX: Final = 1.0
+# How much fuller, as a share of its slots, a target of the own zone must be than one of
+# another zone for a call to cross zones if neither has a free slot.
 FULL_ZONE_MARGIN: Final = 1.0
 # A target is quick enough for a route if its mean answer takes at most this share of
 # the objective; the remainder is a margin for slower answers.
@@ -103,7 +104,7 @@
             )
             is_quick = self._make_is_quick(route, objective_ms, now_ms)
             chosen = self._pick(group, candidates, wait_of, is_quick, n_answer_bytes)
-            if is_free_slot_required and wait_of(chosen) > ROOM_WAIT:
+            if is_free_slot_required and wait_of(chosen) > FREE_SLOT_WAIT_MAX:
                 return None
         self._health[chosen.key].begin(
             now_ms, self._age_weight(route, is_urgent, objective_ms > 0)
@@ -299,15 +300,15 @@
             return self._better_of_two(near, wait_of)
         best = self._better_of_two(near, wait_of)
         near_wait = wait_of(best)
-        if near_wait <= ROOM_WAIT:
+        if near_wait <= FREE_SLOT_WAIT_MAX:
             return best
-        is_full = wait_of(best, is_speed_counted=False) > ROOM_WAIT
+        is_full = wait_of(best, is_speed_counted=False) > FREE_SLOT_WAIT_MAX
         if not is_full and is_quick(best):
             return best
         other = self._better_of_two(far, wait_of)
         far_wait = wait_of(other)
         margin = n_answer_bytes * ZONE_MARGIN_PER_BYTE
-        if far_wait > ROOM_WAIT:
+        if far_wait > FREE_SLOT_WAIT_MAX:
             is_large = margin > ZONE_MARGIN
             if is_large or not _is_much_fuller(best, other, wait_of):
                 return best
--- a/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
@@ -42,11 +42,11 @@
     """
 
     def __call__(self, endpoint: Endpoint, *, is_speed_counted: bool = True) -> float:
-        """Return the wait or, without `is_speed_counted`, the calls per slot."""
+        """Return the wait; without `is_speed_counted`, as if all were equally fast."""
 
 
 def make_wait_of(
-    known: Mapping[TargetKey, TargetHealth],
+    health_of: Mapping[TargetKey, TargetHealth],
     statistics: GroupStatistics,
     load_of: LoadOf,
     now_ms: float,
@@ -64,7 +64,7 @@
     )
 
     def wait_of(endpoint: Endpoint, *, is_speed_counted: bool = True) -> float:
-        health = known[endpoint.key]
+        health = health_of[endpoint.key]
         load = load_of(endpoint)
         n_waiting = health.n_in_flight
         if load is not None:
--- a/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
@@ -132,8 +132,8 @@
 
     def oldest(self) -> WaitingCall:
         """Return the call that arrived first among the customers' next calls."""
-        heads = (queue[0].call for queue in self._queues.values() if queue)
-        return min(heads, key=lambda call: call.arrived_ms)
+        next_calls = (queue[0].call for queue in self._queues.values() if queue)
+        return min(next_calls, key=lambda call: call.arrived_ms)
 
 
 __all__ = ["FairQueue", "WaitingCall"]
--- a/packages/pepperstair-core/pepperstair_core/calls/pacing.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/pacing.py
@@ -15,7 +15,7 @@
 
 # The share of the link's rate that large answers may use. The remainder is for all
 # other traffic, such as small answers, requests and the overhead of the streams.
-_SHARE: Final = 0.85
+_LARGE_ANSWER_SHARE: Final = 0.85
 # A small answer waits for one or two parts, which is acceptable for look-ups of 40 ms.
 # Each part wakes up both daemons, so shorter parts would use more processor time.
 _PART_MS: Final = 30.0
@@ -40,16 +40,16 @@
     (0.0, 35)
     """
 
-    __slots__ = ("_bytes_per_ms", "_free_ms", "part_bytes")
+    __slots__ = ("_bytes_per_ms", "_link_free_ms", "part_bytes")
 
     def __init__(self, link_mbps: float, part_max_bytes: int) -> None:
         link_bytes_per_ms = link_mbps * _BYTES_PER_MS_OF_MBPS
-        self._free_ms = 0.0
+        self._link_free_ms = 0.0
         if link_mbps <= 0 or part_max_bytes <= _FAST_PART_MS * link_bytes_per_ms:
             self._bytes_per_ms = 0.0
             self.part_bytes = part_max_bytes
             return
-        self._bytes_per_ms = _SHARE * link_bytes_per_ms
+        self._bytes_per_ms = _LARGE_ANSWER_SHARE * link_bytes_per_ms
         paced_bytes = int(_PART_MS * link_bytes_per_ms)
         self.part_bytes = min(part_max_bytes, max(_PART_MIN_BYTES, paced_bytes))
 
@@ -61,8 +61,8 @@
         """Reserve the link for the next part and return how long it has to wait."""
         if not self._bytes_per_ms:
             return 0.0
-        start_ms = max(now_ms, self._free_ms)
-        self._free_ms = start_ms + n_bytes / self._bytes_per_ms
+        start_ms = max(now_ms, self._link_free_ms)
+        self._link_free_ms = start_ms + n_bytes / self._bytes_per_ms
         return start_ms - now_ms
 
 
--- a/packages/pepperstair-core/pepperstair_core/calls/route_statistics.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_statistics.py
@@ -50,9 +50,9 @@
 class CallerTimeouts:
     """The median timeout that the callers of a route request.
 
-    A caller that retries after a refusal requests its remaining time. Its answer is
-    less likely to be in time, and serving it like a new call would make new calls
-    late too.
+    A caller that retries after a refusal requests its remaining time as the timeout.
+    Its answer is less likely to be in time, and serving it like a new call would make
+    new calls late too.
 
     >>> timeouts = CallerTimeouts()
     >>> [timeouts.waited_ms("r", 800) for _ in range(3)]
--- a/packages/pepperstair-core/pepperstair_core/calls/service_times.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/service_times.py
@@ -12,16 +12,17 @@
 # Mean deviations added to the mean, as in the TCP retransmission timeout (Jacobson
 # 1988).
 N_DEVIATIONS: Final = 3
-# Mean deviations added to a route's mean to estimate a call whose answer is to be in
-# time, and the share of the wanted time that the estimate may use. Under overload each
-# call starts as late as allowed: with the mean alone, about half of the answers come
-# too late.
+# Mean deviations added to a route's mean to estimate the service time of a call whose
+# answer is to be in time, and the share of the wanted time up to which they lengthen
+# the estimate. Under overload each call starts as late as allowed: with the mean alone,
+# about half of the answers come too late.
 N_USEFUL_DEVIATIONS: Final = 1.0
 USEFUL_WORK_SHARE: Final = 0.7
 # A call is short if it takes less than this share of the time of the target's longest
 # calls: refusing it would not let one of those be answered in time instead.
 SHORT_SHARE: Final = 0.25
-# Decay of the longest service time with each call, with a half-life of 700 calls.
+# Factor by which the longest service time decays with each call: its half-life is 700
+# calls.
 LONGEST_KEPT_SHARE: Final = 0.999
 N_ROUTES_MAX: Final = 1_000
 
--- a/packages/pepperstair-core/pepperstair_core/intent.py
+++ b/packages/pepperstair-core/pepperstair_core/intent.py
@@ -18,8 +18,8 @@
 from .schema import Fault, Option, read_document
 
 # Limits the time for which reading a version blocks the proxy's single thread.
-MAX_ROUTES: Final = 10_000
-MAX_SERVICES: Final = 500
+N_ROUTES_MAX: Final = 10_000
+N_SERVICES_MAX: Final = 500
 PRIORITIES: Final = ("urgent", "normal", "deferrable")
 
 
@@ -229,10 +229,10 @@
 
 
 def _iter_size_faults(intent: Intent) -> Iterator[Fault]:
-    if len(intent.routes) > MAX_ROUTES:
-        yield Fault("routes", f"at most {MAX_ROUTES} routes")
-    if len(intent.services) > MAX_SERVICES:
-        yield Fault("services", f"at most {MAX_SERVICES} services")
+    if len(intent.routes) > N_ROUTES_MAX:
+        yield Fault("routes", f"at most {N_ROUTES_MAX} routes")
+    if len(intent.services) > N_SERVICES_MAX:
+        yield Fault("services", f"at most {N_SERVICES_MAX} services")
 
 
 def _iter_duplicate_faults(where: str, items: tuple) -> Iterator[Fault]:
@@ -276,8 +276,8 @@
 
 
 __all__ = [
-    "MAX_ROUTES",
-    "MAX_SERVICES",
+    "N_ROUTES_MAX",
+    "N_SERVICES_MAX",
     "PRIORITIES",
     "Intent",
     "LabelOverride",
