--- a/packages/pepperstair-core/pepperstair_core/distribution/actions.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/actions.py
@@ -27,7 +27,7 @@
 
 
 class ReadBucketTokens(Struct, frozen=True):
-    """Read the change tokens of all buckets."""
+    """Read all bucket tokens, each of which changes with any head of its bucket."""
 
 
 class ReadHeads(Struct, frozen=True):
--- a/packages/pepperstair-core/pepperstair_core/distribution/anti_entropy.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/anti_entropy.py
@@ -34,7 +34,7 @@
     has_known_floor: bool,
     now_ms: int,
 ) -> Actions:
-    """Answer a digest that differs with this daemon's versions, or process an answer.
+    """Answer a differing digest with the held versions, or process an answer.
 
     For an answer, pull the versions that are newer at the sender and announce those
     that are newer here.
--- a/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
@@ -121,7 +121,7 @@
     frame: Acknowledge,
     now_ms: int,
 ) -> Actions:
-    """Count acknowledgements, or store them to be forwarded together."""
+    """Count acknowledgements sent to this daemon; store others to forward together."""
     if frame.collector == state.fleet.own_vm:
         collection = convergence.collections.get(frame.customer)
         if collection is not None and frame.version >= collection.version:
--- a/packages/pepperstair-core/pepperstair_core/distribution/events.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/events.py
@@ -49,13 +49,16 @@
 
 
 class BucketTokensRead(Struct, frozen=True):
-    """The change token of each bucket was read, None if the platform failed."""
+    """The bucket tokens were read; `tokens` is None if the platform failed."""
 
     tokens: dict[int, str] | None
 
 
 class HeadsRead(Struct, frozen=True):
-    """The heads of a bucket, or of all, were read, None if the platform failed."""
+    """The heads of a bucket, or of all buckets if `bucket` is None, were read.
+
+    `heads` is None if the platform failed.
+    """
 
     bucket: int | None
     heads: tuple[Head, ...] | None
@@ -63,14 +66,20 @@
 
 
 class HeadRead(Struct, frozen=True):
-    """The head of one customer was read, None if there is none or the read failed."""
+    """The head of one customer was read.
+
+    `head` is None if there is none or the read failed.
+    """
 
     customer: str
     head: Head | None
 
 
 class ObjectFetched(Struct, frozen=True):
-    """A body was fetched, None if the object store has none or the fetch failed."""
+    """A body was fetched from the object store.
+
+    `body` is None if the store has none or the fetch failed.
+    """
 
     head: Head
     body: bytes | None
--- a/packages/pepperstair-core/pepperstair_core/distribution/floor.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/floor.py
@@ -79,7 +79,7 @@
 
 
 def check(floor: FloorState, state: DistributionState, now_ms: int) -> Actions:
-    """Check whether the floor is reached; otherwise send the requests that are due."""
+    """Check whether the floor is reached; if not, send the requests that are due."""
     if floor.is_known:
         return
     if floor.started_at_ms is None:
@@ -110,7 +110,7 @@
 
 
 def reset(floor: FloorState, state: DistributionState, now_ms: int) -> Actions:
-    """Discard the floor after a pause, so that the daemon catches up first."""
+    """Discard the floor after a pause: the daemon must catch up before it serves."""
     floor.reached_by = FloorSource.NONE
     floor.started_at_ms = None
     floor.platform_heads = None
--- a/packages/pepperstair-core/pepperstair_core/distribution/in_force.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/in_force.py
@@ -55,7 +55,8 @@
     if now_ms - candidate.held_at_ms >= state.timing.holder_wait_max_ms:
         # A daemon that is partitioned from most members would otherwise never apply
         # its held version, as unreachable members are still listed as live. After
-        # the wait only neighbours with an open stream count.
+        # the wait, no more holders are required than there are neighbours with an
+        # open stream.
         n_required = min(n_required, len(state.fleet.neighbours))
     return _n_holders(state, customer, candidate) >= n_required
 
--- a/packages/pepperstair-core/pepperstair_core/distribution/polling.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/polling.py
@@ -27,7 +27,7 @@
 
 
 class PollingState(Struct):
-    """Read timers, seen tokens, and the beacons received from other pollers."""
+    """Read timers, seen bucket tokens, and the beacons of other pollers."""
 
     poll_due_ms: int = 0
     beacon_due_ms: int = 0
@@ -52,7 +52,7 @@
 def poll_if_due(
     polling: PollingState, state: DistributionState, now_ms: int
 ) -> Actions:
-    """Read the bucket tokens if a poller, or all heads if no beacon arrives in time."""
+    """Read the bucket tokens as a poller, or all heads if no beacon arrived in time."""
     if state.fleet.own_vm in pollers(state):
         if now_ms >= polling.poll_due_ms:
             polling.poll_due_ms = now_ms + _READ_TIMEOUT_MS
@@ -72,7 +72,7 @@
     tokens: dict[int, str] | None,
     now_ms: int,
 ) -> Actions:
-    """Read the heads of every bucket whose token changed.
+    """Read the heads of every bucket whose bucket token changed.
 
     `tokens` is None if the platform did not answer.
     """
@@ -104,9 +104,9 @@
 ) -> Actions:
     """Schedule pulls of versions newer than the received ones, neighbours first.
 
-    The token of a bucket is stored only here, after its heads were read: if it were
-    stored when the tokens are read, a failed read of the heads would hide the change
-    until the next one.
+    A bucket token is stored only here, after the heads of its bucket were read: if it
+    were stored when the bucket tokens are read, a failed read of the heads would hide
+    the change until the next one.
     """
     for changed_bucket, token in polling.pending_tokens.items():
         if bucket in (None, changed_bucket):
@@ -166,8 +166,8 @@
 ) -> None:
     """Restart the beacon timeout; it is longer while pollers report an outage.
 
-    Otherwise all daemons would read throughout a platform outage, and the platform
-    would recover into a storm of reads.
+    Otherwise all daemons would read at the same time throughout a platform outage, and
+    the platform would recover into a storm of reads.
     """
     timing = state.timing
     timeout_ms = timing.poller_timeout_ms
--- a/packages/pepperstair-core/pepperstair_core/distribution/serving.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/serving.py
@@ -15,7 +15,7 @@
 from .actions import Actions, Send
 from .state import PART_MAX_BYTES, CustomerState, DistributionState
 
-_N_OTHER_HOLDERS_MAX: Final = 3
+_N_OTHER_ADDRESSES_MAX: Final = 3
 
 
 def on_pull(state: DistributionState, sender: str, frame: Pull, now_ms: int) -> Actions:
@@ -93,7 +93,9 @@
     state.rng.shuffle(other_addresses)
     retry_after_ms = int(state.timing.busy_retry_ms * state.rng.uniform(0.5, 1.5))
     return Busy(
-        customer.customer, retry_after_ms, tuple(other_addresses[:_N_OTHER_HOLDERS_MAX])
+        customer.customer,
+        retry_after_ms,
+        tuple(other_addresses[:_N_OTHER_ADDRESSES_MAX]),
     )
 
 
--- a/packages/pepperstair-core/pepperstair_core/distribution/state.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/state.py
@@ -22,7 +22,7 @@
 
 
 class Timing(Struct, frozen=True):
-    """Intervals, timeouts and limits; the defaults suit the target fleet."""
+    """Intervals, timeouts and limits; the defaults suit the intended fleet."""
 
     pull_grace_ms: int = 150
     pull_timeout_ms: int = 1000
@@ -158,7 +158,7 @@
         self.members = {member.vm: member for member in members}
 
     def live(self) -> Iterator[str]:
-        """Yield the members that are not suspected, this daemon included."""
+        """Yield this daemon and all other members whose state is `ALIVE`."""
         yield self.own_vm
         for vm, member in self.members.items():
             if vm != self.own_vm and member.state is MemberState.ALIVE:
--- a/packages/pepperstair-core/pepperstair_core/membership/backoff.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/backoff.py
@@ -12,8 +12,8 @@
 class DialBackoff:
     """Tracks the failed dials of each address and when the next attempt is due.
 
-    After a mass restart all remaining daemons dial at once. Without jitter they
-    would retry in lockstep, each wave of dials making the next one fail, and some
+    After a mass restart all daemons that kept running dial at once. Without jitter
+    they would retry in lockstep, each wave of dials making the next one fail, and some
     daemons would still have no neighbours long after the last restart.
     """
 
--- a/packages/pepperstair-core/pepperstair_core/membership/liveness.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/liveness.py
@@ -27,8 +27,8 @@
     def restart(self, now_ms: int) -> None:
         """Restart the silence timers of all watched VMs.
 
-        A daemon that was paused has received nothing itself. If it suspected its
-        neighbours for that, all of them would have to refute.
+        A daemon that was paused has received nothing meanwhile. If it suspected its
+        neighbours for that, all of them would have to refute the suspicion.
         """
         self._received_at_ms = dict.fromkeys(self._received_at_ms, now_ms)
 
--- a/packages/pepperstair-core/pepperstair_core/membership/membership.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/membership.py
@@ -74,7 +74,7 @@
         return self._is_choice_due or not self._outbox.is_empty
 
     def discover(self, addresses: Iterable[str], now_ms: int) -> Iterator[Action]:
-        """Handle addresses found outside the member records, and dial them."""
+        """Handle addresses found outside the member records; dial them to join."""
         self._edges.set_join_addresses(addresses)
         yield from self._edges.iter_join_dials(now_ms)
 
@@ -93,7 +93,7 @@
         )
 
     def resume(self, now_ms: int) -> Iterator[Action]:
-        """Rejoin after a pause with a new incarnation and a repair of the records."""
+        """Rejoin after a pause with a new incarnation and compare records again."""
         self._last_received.restart(now_ms)
         self._suspicions.restart(now_ms)
         yield from self._raise_incarnation(self.directory.own().incarnation)
@@ -139,7 +139,7 @@
         self._edges.mark_reached(address)
 
     def receive(self, vm: str, frame: Any, now_ms: int) -> Iterator[Action]:
-        """Handle a frame; kinds of other components only show that the VM is alive."""
+        """Handle a frame; one for another component only shows that the VM is alive."""
         self._last_received.mark_received(vm, now_ms)
         if isinstance(frame, MemberUpdate):
             yield from self._merge_records(frame.members, vm, now_ms)
--- a/packages/pepperstair-core/pepperstair_core/membership/outbox.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/outbox.py
@@ -56,8 +56,8 @@
     def add(self, member: Member, sender: str = "") -> None:
         """Queue a changed record for every neighbour except its sender.
 
-        This daemon's own record, which has no sender, is sent in full to all
-        neighbours.
+        A change made by this daemon, to its own record or to the state of another
+        member, has no sender and is sent in full to all neighbours.
         """
         for neighbour, pending in self._pending.items():
             if neighbour == sender:
--- a/packages/pepperstair-core/pepperstair_core/membership/pause.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/pause.py
@@ -20,7 +20,7 @@
         self._last_check_ms = now_ms
 
     def check(self, now_ms: int) -> int:
-        """Return the length of a pause since the last check, or 0 for none."""
+        """Return the time since the last check if it exceeds the lease, otherwise 0."""
         pause_ms = now_ms - self._last_check_ms
         self._last_check_ms = now_ms
         return pause_ms if pause_ms > self._lease_ms else 0
--- a/packages/pepperstair-core/pepperstair_core/membership/repair.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/repair.py
@@ -29,7 +29,7 @@
 def iter_pulls(
     directory: MemberDirectory, sender: str, frame: MemberRanks
 ) -> Iterator[Send]:
-    """Yield a request for the records of which the sender holds a newer one."""
+    """Yield a request for the records that are missing here or newer at the sender."""
     own_vm = directory.own().vm
     vms = tuple(
         remote.vm
@@ -43,7 +43,7 @@
 def iter_newer_records(
     directory: MemberDirectory, frame: MemberRanks
 ) -> Iterator[Member]:
-    """Yield the records of which the sender holds an older one or none."""
+    """Yield the records that are missing or older at the sender."""
     remote_ranks = {rank.vm: rank.rank for rank in frame.ranks}
     for member in directory.in_buckets(frame.buckets):
         remote_rank = remote_ranks.get(member.vm)
--- a/packages/pepperstair-core/pepperstair_core/shared_reading.py
+++ b/packages/pepperstair-core/pepperstair_core/shared_reading.py
@@ -2,10 +2,11 @@
 
 All daemons compute the same ranking of readers from the member list. The first
 `N_WATCHERS` watch the table continuously. Each answer confirms that a version was the
-newest at that moment, and the daemons forward this confirmation to each other. A daemon
-whose last confirmation is too old reads the table itself, those of lower rank first, so
-that usually a single read replaces a watch that hangs. There is no election: daemons
-whose member lists differ read slightly more often than needed, and never too rarely.
+newest at that moment, and the daemons forward this confirmation to each other. Daemons
+whose last confirmation is too old read the table themselves, in the order of the
+ranking, so that usually a single read replaces a watch that hangs. There is no
+election: daemons whose member lists differ read slightly more often than needed, and
+never too rarely.
 """
 
 from __future__ import annotations
@@ -42,13 +43,13 @@
 START_DELAY_SPREAD_MS: Final = 250.0
 # Time until a starting daemon knows all members, and so its rank.
 MEMBERSHIP_SETTLE_MS: Final = 1_000.0
-# Time for which a daemon does not watch after a failed read.
+# Time for which a daemon leaves watching to others after a failed read.
 READ_FAILURE_HOLDOFF_MS: Final = 5_000.0
 # How much newer than the last one a confirmation must be to be forwarded, as a share of
 # the age at which the first of the remaining daemons reads.
 FORWARD_SHARE: Final = 0.25
 # While the table is unavailable, this many daemons retry at the usual interval. All
-# others retry at an interval longer by this factor: those daemons notify them once the
+# others retry at an interval longer by this factor: the former notify them once the
 # table is available again.
 N_FAST_RETRIERS: Final = 8
 SLOW_RETRY_FACTOR: Final = 3.0
@@ -58,10 +59,10 @@
     """Computes when this daemon next reads the table, from confirmations and failures.
 
     `bound_ms` is the time in which a version has to be in force everywhere. `read_ms`
-    is the transfer time of a large document on the VM's link: a starting daemon delays
-    its first read by it, in favour of daemons with faster links. Times are milliseconds
-    of one monotonic clock. `rank` is the number of daemons ranked before this one as
-    readers.
+    is the transfer time of a large document on the VM's link: a starting daemon whose
+    rank is not among the first `N_WATCHERS` delays its first read by it, in favour of
+    daemons with faster links. Times are milliseconds of one monotonic clock. `rank` is
+    the number of daemons ranked before this one as readers.
 
     >>> schedule = ReadSchedule(2000.0, 0.0, Random(1))
     >>> schedule.confirm(5000.0)
@@ -88,7 +89,7 @@
 
     @property
     def max_age_ms(self) -> float:
-        """Return the age of a confirmation at which the next daemon reads."""
+        """Return the age of a confirmation at which the first non-watcher reads."""
         return FIRST_READ_SHARE * self.bound_ms
 
     @property
--- a/packages/pepperstair-core/pepperstair_core/versions.py
+++ b/packages/pepperstair-core/pepperstair_core/versions.py
@@ -90,7 +90,8 @@
 def make_snapshot(head: Head, body: bytes) -> Result[Snapshot, list[Fault]]:
     """Verify a body against its head's digest and parse it.
 
-    Return the faults of a body that does not match or can't be parsed as a whole.
+    A body that does not match or can't be parsed is rejected as a whole, and its
+    faults are returned.
     """
     if digest_of(body) != head.digest:
         return Err([Fault(head.customer, f"a body with digest {head.digest}")])
--- a/packages/pepperstair-core/pepperstair_core/wire/control.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/control.py
@@ -94,7 +94,7 @@
 
 
 class Prune(Frame, tag=14):
-    """Requests to announce a customer's versions instead of pushing them."""
+    """Asks the receiver to announce a customer's versions instead of pushing them."""
 
     customer: str
 
@@ -135,7 +135,7 @@
 
 
 class Inquire(Frame, tag=18):
-    """Requests that the fleet acknowledges a version to the collecting daemon.
+    """Asks the fleet to acknowledge a version to the collecting daemon.
 
     Every daemon forwards it once. Acknowledgements return along the path on which it
     was received.
@@ -148,9 +148,10 @@
 
 
 class PollerSign(Frame, tag=19):
-    """Shows its zone that a poller is alive, and whether the platform is reachable.
+    """Beacon by which a poller shows its zone that it is alive.
 
-    `number` distinguishes the frames of one poller, so that each is forwarded once.
+    `is_platform_reachable` is whether the platform answered its last poll. `number`
+    distinguishes the beacons of one poller, so that each is forwarded once.
     """
 
     vm: str
@@ -178,8 +179,8 @@
     """Lists the records that the sender holds in the differing buckets.
 
     Without `buckets` it lists changed records, for a receiver in another zone.
-    The receiver sends the records of which it holds a newer one, and requests those
-    of which it holds an older one or none.
+    The receiver sends the records that are missing or older at the sender, and
+    requests those that are missing or older on its own side.
     """
 
     buckets: bytes
--- a/packages/pepperstair-platform/pepperstair_platform/acceptance.py
+++ b/packages/pepperstair-platform/pepperstair_platform/acceptance.py
@@ -21,7 +21,7 @@
 from .platform import Compare, Platform, Row
 from .rows import (
     abandoned_row,
-    bucket_marker_key,
+    bucket_token_key,
     change_key,
     change_row,
     head_from_change,
@@ -124,8 +124,8 @@
         Compare(head_key(head.customer), _value_of(attempt.head)),
         Compare(change_key(head.change_id), _value_of(attempt.change)),
     )
-    marker_row = Row(bucket_marker_key(head.customer), head.change_id)
-    rows = (head_row(head), change_row(head), marker_row)
+    token_row = Row(bucket_token_key(head.customer), head.change_id)
+    rows = (head_row(head), change_row(head), token_row)
     committed = await attempt.platform.commit(compare, rows, head.customer)
     if committed.is_err():
         return await _resolve_unknown_outcome(attempt, committed.unwrap_err())
--- a/packages/pepperstair-platform/pepperstair_platform/platform.py
+++ b/packages/pepperstair-platform/pepperstair_platform/platform.py
@@ -41,7 +41,7 @@
 class PlatformCounters(Struct):
     """Counts the requests to the platform, for metrics.
 
-    Reads that wait for a change are counted as reads.
+    Reads that wait for a change are counted in `n_watches` and also in `n_reads`.
     """
 
     n_reads: int = 0
@@ -117,7 +117,7 @@
     async def _read(self, path: str, customer: str) -> Result[Response, Failure]:
         self.counters.n_reads += 1
         sent = await self._send("GET", path, b"", customer)
-        return sent.map_err(_as_not_written)
+        return sent.map_err(_as_read_failure)
 
     async def _send(
         self, method: str, path: str, body: bytes, customer: str = ""
@@ -149,7 +149,7 @@
         return Err(Failure(kind, detail))
 
 
-def _as_not_written(failure: Failure) -> Failure:
+def _as_read_failure(failure: Failure) -> Failure:
     if failure.kind is ErrorKind.BUSY:
         return failure
     return Failure(ErrorKind.PLATFORM_UNAVAILABLE, failure.detail)
--- a/packages/pepperstair-platform/pepperstair_platform/rows.py
+++ b/packages/pepperstair-platform/pepperstair_platform/rows.py
@@ -1,8 +1,8 @@
 """Keys and values of pepperstair's rows in the table service.
 
 `head/<bucket>/<customer>` holds the newest version of a customer,
-`change/<change id>` the outcome of a change, `bell/<bucket>` a marker that changes
-with any head of the bucket, and `member/<vm>` the address of a daemon.
+`change/<change id>` the outcome of a change, `bell/<bucket>` the bucket token, which
+changes with any head of the bucket, and `member/<vm>` the address of a daemon.
 """
 
 from __future__ import annotations
@@ -36,18 +36,18 @@
     return f"{head_prefix(bucket_of(customer))}{customer}"
 
 
-def bucket_marker_key(customer: str) -> str:
-    """Return the key of the bucket marker that a customer's changes update."""
+def bucket_token_key(customer: str) -> str:
+    """Return the key of the bucket token that a customer's changes update."""
     return f"bell/{bucket_of(customer):02d}"
 
 
 def bucket_tokens_prefix() -> str:
-    """Return the key prefix of all bucket markers."""
+    """Return the key prefix of all bucket tokens."""
     return "bell/"
 
 
 def bucket_of_token_key(row: Row) -> int:
-    """Return the bucket of a bucket marker's row."""
+    """Return the bucket of a bucket token's row."""
     return int(row.key.removeprefix(bucket_tokens_prefix()))
 
 
@@ -94,7 +94,7 @@
 __all__ = [
     "N_BUCKETS",
     "abandoned_row",
-    "bucket_marker_key",
+    "bucket_token_key",
     "bucket_tokens_prefix",
     "bucket_of",
     "bucket_of_token_key",
