--- a/packages/pepperstair-callers/pepperstair_callers/attempts.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempts.py
@@ -229,8 +229,8 @@
     ) -> None:
         """Record the end of an answer that was relayed to the caller.
 
-        Errors and cut answers count against the target regardless of the state that
-        it announces or reports on a health endpoint.
+        Errors and truncated answers count against the target regardless of the state
+        that it announces or reports on a health endpoint.
         """
         kind = classify_answer(response.status, is_complete)
         self._record_tried(str(response.status), self._latency_ms)
--- a/packages/pepperstair-callers/pepperstair_callers/proxy.py
+++ b/packages/pepperstair-callers/pepperstair_callers/proxy.py
@@ -59,8 +59,8 @@
         self.n_in_flight += 1
         start_ms = self._context.now_ms() - exchange.queued_s * 1000
         call: ProxiedCall | None = None
-        # The outcome if none is set below, as when this task is cancelled because the
-        # connection closed: the caller has disconnected.
+        # The outcome unless another one is set below. If the caller disconnects, this
+        # task is cancelled before it sets one.
         status, error = ANSWERS[ErrorKind.CANCELLED].status, ErrorKind.CANCELLED
         try:
             try:
--- a/packages/pepperstair-callers/pepperstair_callers/relay.py
+++ b/packages/pepperstair-callers/pepperstair_callers/relay.py
@@ -39,7 +39,7 @@
 async def relay(exchange: Exchange, response: StreamedResponse) -> bool:
     """Relay an answer and return whether it was relayed whole.
 
-    If the answer is cut, the caller's connection is aborted, so that the caller gets
+    If the answer is cut off, the caller's connection is reset, so that the caller gets
     an error and can't mistake a partial answer for a whole one.
     """
     headers = (*end_to_end_headers(response.headers), _RUN_YES)
--- a/packages/pepperstair-callers/pepperstair_callers/request_body.py
+++ b/packages/pepperstair-callers/pepperstair_callers/request_body.py
@@ -53,7 +53,7 @@
         return self._buffered[:REPLAY_MAX_BYTES]
 
     def buffer_nowait(self) -> bool:
-        """Buffer a small body that has arrived whole; return whether it had."""
+        """Buffer a small body that has arrived whole, and return whether it has."""
         source = self._source
         if not source.is_complete or source.n_bytes > REPLAY_MAX_BYTES:
             return False
@@ -112,7 +112,7 @@
         self.is_read_started = False
 
     async def read(self) -> bytes:
-        """Return the next part, b"" at the end, or raise if the body was cut."""
+        """Return the next part, b"" at the end, or raise if the body was cut off."""
         self.is_read_started = True
         if kept := super().read_nowait():
             return kept
--- a/packages/pepperstair-http/pepperstair_http/body.py
+++ b/packages/pepperstair-http/pepperstair_http/body.py
@@ -72,7 +72,7 @@
         return self._is_complete
 
     @property
-    def is_empty(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Return whether the body is complete and has been read to its end."""
         return self._is_complete and not self._parts
 
--- a/packages/pepperstair-http/pepperstair_http/client.py
+++ b/packages/pepperstair-http/pepperstair_http/client.py
@@ -29,9 +29,10 @@
     waits for the answer, whose body arrives in `body`. After a complete answer,
     `is_reusable` states whether another request may follow.
 
-    A peer may send more data than requested: a second answer, immediate or late, does
-    not belong to the next request. A connection with surplus bytes is never reused, and
-    an answer that echoes the id of another request is skipped.
+    A peer may send more than one answer to a request, at once or later. A surplus
+    answer must not be taken as the answer to the next request: a connection with
+    surplus bytes is never reused, and an answer that echoes the id of another request
+    is skipped.
     """
 
     def __init__(self) -> None:
@@ -76,9 +77,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._gate.mark_lost()
-        self._fail(
-            ConnectionLostError("connection lost before the answer was complete")
-        )
+        self._fail(ConnectionLostError("the connection was lost"))
 
     def pause_writing(self) -> None:
         self._gate.close()
@@ -127,7 +126,10 @@
         return await self._head
 
     def detect_dead_peer(self, unacknowledged_ms: int) -> None:
-        """Make the connection fail if sent data stays unacknowledged for so long."""
+        """Make the connection fail if its peer no longer acknowledges data.
+
+        Sent data may stay unacknowledged for up to `unacknowledged_ms`.
+        """
         detect_dead_peer(self._transport, unacknowledged_ms)
 
     def close(self) -> None:
--- a/packages/pepperstair-http/pepperstair_http/connection.py
+++ b/packages/pepperstair-http/pepperstair_http/connection.py
@@ -35,7 +35,7 @@
 
     def __init__(self, server: ServerState) -> None:
         self._server = server
-        self._h11 = self._new_state()
+        self._h11 = self._new_h11_connection()
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._gate = WriteGate()
@@ -168,7 +168,7 @@
         if not self._gate.is_open:
             await self._gate.wait()
 
-    def _new_state(self) -> h11.Connection:
+    def _new_h11_connection(self) -> h11.Connection:
         header_max_bytes = self._server.limits.header_max_bytes
         return h11.Connection(h11.SERVER, max_incomplete_event_size=header_max_bytes)
 
@@ -215,7 +215,7 @@
             limits.n_requests_max, limits.request_max_bytes, limits.answer_max_bytes
         ):
             return False
-        self._h11 = self._new_state()
+        self._h11 = self._new_h11_connection()
         self._h11.receive_data(surplus)
         return True
 
@@ -255,12 +255,12 @@
             event.target.decode("latin-1"),
             tuple(event.headers),
         )
-        state = self._h11
+        h11_connection = self._h11
         body = BodyBuffer(
             lambda n_bytes: self._pause_or_resume_reading(),
-            lambda: self._send_continue(state),
+            lambda: self._send_continue(h11_connection),
         )
-        exchange = Exchange(self, state, request, body, self._loop.time())
+        exchange = Exchange(self, h11_connection, request, body, self._loop.time())
         self._pipeline.add(exchange)
 
     def _start_requests(self) -> None:
@@ -276,14 +276,14 @@
             exchange.queued_s = self._loop.time() - exchange.arrived_s
             self._tasks[exchange] = self._loop.create_task(self._handle(exchange))
 
-    def _send_continue(self, state: h11.Connection) -> None:
+    def _send_continue(self, h11_connection: h11.Connection) -> None:
         """Send `100 Continue` once the handler reads the body.
 
         A handler may refuse a request without reading its body.
         """
-        if state.they_are_waiting_for_100_continue:
+        if h11_connection.they_are_waiting_for_100_continue:
             response = h11.InformationalResponse(status_code=100, headers=[])
-            self._transport.write(state.send(response))
+            self._transport.write(h11_connection.send(response))
 
     async def _handle(self, exchange: Exchange) -> None:
         try:
@@ -314,7 +314,10 @@
         """
         self._pipeline.remove_first()
         self._last_activity_s = self._loop.time()
-        states = (exchange.state.our_state, exchange.state.their_state)
+        states = (
+            exchange.h11_connection.our_state,
+            exchange.h11_connection.their_state,
+        )
         if states != (h11.DONE, h11.DONE) or self._transport.is_closing():
             self._drop_unanswered()
             self._close_discarding()
@@ -327,7 +330,7 @@
         elif self._rejection is not None:
             self._write_error(self._rejection.status, self._rejection.text)
             return
-        elif exchange.state is self._h11 and not self._h11.trailing_data[0]:
+        elif exchange.h11_connection is self._h11 and not self._h11.trailing_data[0]:
             self._h11.start_next_cycle()
         if self._h11.trailing_data[0] and not self._pipeline:
             self._head_start_s = self._loop.time()
--- a/packages/pepperstair-http/pepperstair_http/exchange.py
+++ b/packages/pepperstair-http/pepperstair_http/exchange.py
@@ -46,10 +46,10 @@
     `abort`: the client then sees a reset connection and can't mistake a truncated
     body for a complete one.
 
-    An answer waits until all earlier requests of the connection are answered. `state`
-    is the h11 connection for this request and its answer only. `is_started` is set
-    once the handler runs; `queued_s` is how long the request waited behind earlier
-    requests before, which is part of the time that its client has waited.
+    An answer waits until all earlier requests of the connection are answered.
+    `h11_connection` handles this request and its answer only. `is_started` is set once
+    the handler runs. `queued_s` is how long the request waited behind earlier requests
+    before that; the client has been waiting for this time too.
     """
 
     __slots__ = (
@@ -61,13 +61,13 @@
         "queued_s",
         "is_started",
         "request",
-        "state",
+        "h11_connection",
     )
 
     def __init__(
         self,
         channel: AnswerChannel,
-        state: h11.Connection,
+        h11_connection: h11.Connection,
         request: Request,
         body: BodyBuffer,
         arrived_s: float = 0.0,
@@ -76,7 +76,7 @@
         self.queued_s = 0.0
         self._channel = channel
         self._waiting_answer: BodyBuffer | None = None
-        self.state = state
+        self.h11_connection = h11_connection
         self.request = request
         self.body = body
         self.has_started_answer = False
@@ -130,7 +130,7 @@
             while part := body.read_nowait():
                 if not is_head_only:
                     events.append(h11.Data(data=part))
-            if body.is_empty:
+            if body.is_exhausted:
                 await self._send(*events, _END)
                 return
             if events:
@@ -144,7 +144,7 @@
 
     async def _send(self, *events: h11.Event) -> None:
         """Write events in a single write."""
-        data = b"".join([self.state.send(event) or b"" for event in events])
+        data = b"".join([self.h11_connection.send(event) or b"" for event in events])
         await self._channel.write(data)
 
     def _head(self, status: int, headers: Headers) -> h11.Response:
--- a/packages/pepperstair-http/pepperstair_http/malformed.py
+++ b/packages/pepperstair-http/pepperstair_http/malformed.py
@@ -14,7 +14,7 @@
 
 
 class Rejection(Struct, frozen=True):
-    """The error answer to malformed bytes, sent after those to earlier requests."""
+    """The error answer to malformed bytes; answers to earlier requests precede it."""
 
     status: int
     text: str
--- a/packages/pepperstair-http/pepperstair_http/server.py
+++ b/packages/pepperstair-http/pepperstair_http/server.py
@@ -50,7 +50,7 @@
 
     @property
     def is_draining(self) -> bool:
-        """Return whether connections close after their answers in progress."""
+        """Return whether connections close after their next answer."""
         return self.state.is_draining
 
     @is_draining.setter
@@ -72,8 +72,8 @@
     ) -> int:
         """Start listening and return the port; port 0 lets the system choose one.
 
-        If `opened` is given, a socket that already listens at the address, it is used
-        instead, with the connections in its queue.
+        `opened` is a socket that already listens at the address. If it is given, the
+        server uses it, with the connections in its accept queue, instead of its own.
         """
         loop = asyncio.get_running_loop()
         endpoint = {"sock": opened} if opened else {"host": host, "port": port}
--- a/packages/pepperstair-peers/pepperstair_peers/control/links.py
+++ b/packages/pepperstair-peers/pepperstair_peers/control/links.py
@@ -11,7 +11,7 @@
 
 
 class ControlLink(Struct, frozen=True):
-    """A control stream with the data for choosing between two to the same VM."""
+    """A control stream, with the data that decides which of two to a VM is kept."""
 
     stream: FrameStream
     vm: str
@@ -21,7 +21,7 @@
 
 
 class ControlLinks:
-    """Keeps one link per VM, also if both sides dial at the same time."""
+    """Keeps one link per VM, even if both sides dial at the same time."""
 
     def __init__(self, own_vm: str, race_window_ms: int) -> None:
         self._own_vm = own_vm
@@ -30,7 +30,7 @@
 
     @property
     def vms(self) -> tuple[str, ...]:
-        """Return the VMs to which a link is held."""
+        """Return the VMs to which there is a link."""
         return tuple(self._links)
 
     def get(self, vm: str) -> ControlLink | None:
@@ -50,20 +50,24 @@
         opened after the race window replaces the current one: the other side
         dialled again because it no longer receives anything on the first one.
         """
-        held = self._links.get(link.vm)
-        if held is None or held.stream.is_closed or held.start_id != link.start_id:
+        current = self._links.get(link.vm)
+        if (
+            current is None
+            or current.stream.is_closed
+            or current.start_id != link.start_id
+        ):
             return True
-        if link.opened_ms - held.opened_ms > self._race_window_ms:
+        if link.opened_ms - current.opened_ms > self._race_window_ms:
             return True
-        if link.is_dialler == held.is_dialler:
+        if link.is_dialler == current.is_dialler:
             return True
         return link.is_dialler == (self._own_vm < link.vm)
 
     def put(self, link: ControlLink) -> ControlLink | None:
         """Store a link and return the one that it replaces, or None."""
-        held = self._links.get(link.vm)
+        current = self._links.get(link.vm)
         self._links[link.vm] = link
-        return held
+        return current
 
     def remove(self, link: ControlLink) -> bool:
         """Remove a link, and return whether it was the current one."""
--- a/packages/pepperstair-peers/pepperstair_peers/control/plane.py
+++ b/packages/pepperstair-peers/pepperstair_peers/control/plane.py
@@ -45,9 +45,9 @@
 log = structlog.get_logger(__name__)
 
 _FLUSH_DELAY_S: Final = 0.02
-_TICKS_PER_HEARTBEAT: Final = 4
+_N_TICKS_PER_HEARTBEAT: Final = 4
 # While there is no neighbour, failed dials are retried sooner.
-_TICKS_WITHOUT_NEIGHBOUR: Final = 20
+_N_TICKS_WITHOUT_NEIGHBOUR: Final = 20
 _MEMBER_FRAMES: Final = (
     Heartbeat,
     MemberUpdate,
@@ -179,7 +179,9 @@
         self.check_pause()
         self._execute(self._membership.tick(self._clock_ms()))
         loop = asyncio.get_running_loop()
-        n_ticks = _TICKS_PER_HEARTBEAT if self._links.vms else _TICKS_WITHOUT_NEIGHBOUR
+        n_ticks = (
+            _N_TICKS_PER_HEARTBEAT if self._links.vms else _N_TICKS_WITHOUT_NEIGHBOUR
+        )
         delay_s = self._heartbeat_ms / 1000 / n_ticks
         self._tick_timer = loop.call_later(delay_s, self._tick)
 
@@ -207,7 +209,7 @@
             self._schedule_flush()
 
     def _schedule_flush(self) -> None:
-        """Schedule a flush after a short delay, so that a burst shares frames."""
+        """Schedule a flush after a delay, so that changes of one burst share frames."""
         if self._flush_timer is None and not self._is_closed:
             loop = asyncio.get_running_loop()
             self._flush_timer = loop.call_later(_FLUSH_DELAY_S, self._flush)
--- a/packages/pepperstair-peers/pepperstair_peers/counters.py
+++ b/packages/pepperstair-peers/pepperstair_peers/counters.py
@@ -48,12 +48,12 @@
         """Return the total bytes of all frame types."""
         return sum(sent.n_bytes for sent in self._sent.values())
 
-    def iter_named(self, streams: str) -> Iterator[tuple[str, int]]:
+    def iter_named(self, stream_kind: str) -> Iterator[tuple[str, int]]:
         """Yield each counter with the name that it has in status and metrics."""
         for cls, sent in self._sent.items():
             name = _snake_case(cls.__name__)
-            yield f"n_{streams}_sent_frames_{name}", sent.n_frames
-            yield f"n_{streams}_sent_bytes_{name}", sent.n_bytes
+            yield f"n_{stream_kind}_sent_frames_{name}", sent.n_frames
+            yield f"n_{stream_kind}_sent_bytes_{name}", sent.n_bytes
 
 
 def _snake_case(name: str) -> str:
--- a/packages/pepperstair-peers/pepperstair_peers/data/client.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/client.py
@@ -31,7 +31,7 @@
         clock_ms: Callable[[], int],
     ) -> None:
         own_silence_ms = max(identity.silence_ms, N_SILENT_HEARTBEATS * heartbeat_ms)
-        # A handshake can be delayed on the link once, just as a heartbeat can.
+        # What delays a heartbeat on the link delays a handshake too, but only once.
         dial_timeout_ms = own_silence_ms - heartbeat_ms
         self._dialler = Dialler(
             identity, StreamKind.DATA, frame_max_bytes, counters, dial_timeout_ms
--- a/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
@@ -115,7 +115,9 @@
         load = self._load_of(self.head.target)
         head = AnswerHead(self.head.call_id, response.status, response.headers, *load)
         part = response.body.read_nowait()
-        is_complete = response.body.is_empty and self.pacer.may_send_whole(len(part))
+        is_complete = response.body.is_exhausted and self.pacer.may_send_whole(
+            len(part)
+        )
         if is_complete and self.credit.try_acquire(len(part)):
             parts = [BodyPart(self.head.call_id, data) for data in iter_parts(part)]
             self.send(head, *parts, BodyEnd(self.head.call_id))
--- a/packages/pepperstair-peers/pepperstair_peers/data/outgoing.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/outgoing.py
@@ -74,7 +74,7 @@
             stream.send(head)
             return
         part = body.read_nowait() if body.is_complete else b""
-        if body.is_empty and self.credit.try_acquire(len(part)):
+        if body.is_exhausted and self.credit.try_acquire(len(part)):
             parts = [BodyPart(head.call_id, data) for data in iter_parts(part)]
             self._request = (*parts, BodyEnd(head.call_id))
             stream.send(head, *self._request)
--- a/packages/pepperstair-targets/pepperstair_targets/announcements.py
+++ b/packages/pepperstair-targets/pepperstair_targets/announcements.py
@@ -1,4 +1,4 @@
-"""Parse the announcements that targets send over HTTP."""
+"""Parse the announcements that targets send over HTTP and register the targets."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 log = structlog.get_logger(__name__)
 
 
-class Announcement(Struct, frozen=True):
-    """The announcement of a target as sent in JSON."""
+class AnnouncementBody(Struct, frozen=True):
+    """The JSON body of a target's announcement."""
 
     address: Annotated[str, Option("Address and port that the target serves on.")]
     labels: Annotated[
@@ -66,14 +66,14 @@
     return Ok(registry.lease_ms)
 
 
-def _read_announcement(name: str, body: bytes) -> Result[Announcement, list[Fault]]:
+def _read_announcement(name: str, body: bytes) -> Result[AnnouncementBody, list[Fault]]:
     if not is_label_name(name):
         return Err([Fault("name", f"a name, not {name!r}")])
     try:
         table = parse_json(body)
     except ValueError as error:
         return Err([Fault("body", f"JSON ({error})")])
-    read = read_record(Announcement, table, "")
+    read = read_record(AnnouncementBody, table, "")
     if read.is_err():
         return read
     if parse_address(read.unwrap().address) is None:
@@ -81,4 +81,4 @@
     return read
 
 
-__all__ = ["Announcement", "handle_announcement"]
+__all__ = ["AnnouncementBody", "handle_announcement"]
--- a/packages/pepperstair-targets/pepperstair_targets/answer_body.py
+++ b/packages/pepperstair-targets/pepperstair_targets/answer_body.py
@@ -38,9 +38,9 @@
         return self._source.is_complete
 
     @property
-    def is_empty(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Return whether the body has arrived whole and has been read to its end."""
-        return self._source.is_empty
+        return self._source.is_exhausted
 
     def read_nowait(self) -> bytes:
         """Return the next part that has already arrived, or b""."""
--- a/packages/pepperstair-targets/pepperstair_targets/crash_detection.py
+++ b/packages/pepperstair-targets/pepperstair_targets/crash_detection.py
@@ -13,10 +13,11 @@
 
 log = structlog.get_logger(__name__)
 
-# The connections of a process that exits close at the same time, but this daemon sees
-# them close one after another.
+# Delay before the probe. The connections of a process that exits close at the same
+# time, but this daemon sees them close one after another.
 _CLOSE_DELAY_S: Final = 0.002
-# A listener that outlives its target accepts connections and then closes them.
+# How long a probe connection must stay open. A listener that outlives its target
+# accepts connections and then closes them.
 _PROBE_HOLD_S: Final = 0.02
 
 
@@ -24,7 +25,7 @@
     """Tracks the running calls of one target and detects that it has exited.
 
     `on_exited` is called when it has, with the fingerprints of the calls that were
-    running. It must keep further calls away from the target.
+    running. It must prevent further calls to the target.
     """
 
     def __init__(
--- a/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
+++ b/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
@@ -15,8 +15,8 @@
 
 log = structlog.get_logger(__name__)
 
-# Only one target runs next to a daemon at a time. Delayed announcements never come
-# from as many as the last 64 targets.
+# Only one target runs next to a daemon at a time, so delayed announcements come from
+# far fewer than the last 64 targets.
 N_DEPARTURES_MAX: Final = 64
 # Maximum delay of an announcement in transit. The platform states that announcements
 # may be delayed by seconds.
@@ -95,7 +95,7 @@
             log.info(
                 Event.ANNOUNCEMENT_IGNORED,
                 target=target.name,
-                cause="a newer announcement or departure is known",
+                cause="not proven newer than an earlier announcement or departure",
                 sequence=announcement.sequence,
             )
             return False
--- a/packages/pepperstair-targets/pepperstair_targets/slots.py
+++ b/packages/pepperstair-targets/pepperstair_targets/slots.py
@@ -1,4 +1,4 @@
-"""Wait for a slot of a target, as its admission decides."""
+"""The queue of the calls that wait for a slot of one target."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-targets/pepperstair_targets/target_call.py
+++ b/packages/pepperstair-targets/pepperstair_targets/target_call.py
@@ -40,7 +40,8 @@
     """The options of all calls on the targets of this VM.
 
     Answers of up to `n_buffered_max_bytes` are buffered whole before any part is
-    relayed, so that a call with a cut answer can still be retried on another target.
+    relayed, so that a call with a truncated answer can still be retried on another
+    target.
     """
 
     names: HeaderNames = PRODUCT_HEADERS
