--- a/packages/pepperstair-http/pepperstair_http/client.py
+++ b/packages/pepperstair-http/pepperstair_http/client.py
@@ -200,9 +200,9 @@
         bytes that follow the discarded answer.
         """
         surplus = self._h11.trailing_data[0]
-        is_sent = self._h11.our_state is h11.DONE
-        is_open = self._h11.their_state is h11.DONE
-        if not is_sent or not is_open:
+        is_request_sent = self._h11.our_state is h11.DONE
+        is_kept_alive = self._h11.their_state is h11.DONE
+        if not is_request_sent or not is_kept_alive:
             self._fail(ConnectionLostError("received the answer to another request"))
             self.close()
             return False
--- a/packages/pepperstair-http/pepperstair_http/connection.py
+++ b/packages/pepperstair-http/pepperstair_http/connection.py
@@ -314,10 +314,7 @@
         """
         self._pipeline.remove_first()
         self._last_activity_s = self._loop.time()
-        states = (
-            exchange.h11_connection.our_state,
-            exchange.h11_connection.their_state,
-        )
+        states = (exchange.state.our_state, exchange.state.their_state)
         if states != (h11.DONE, h11.DONE) or self._transport.is_closing():
             self._drop_unanswered()
             self._close_discarding()
@@ -330,7 +327,7 @@
         elif self._rejection is not None:
             self._write_error(self._rejection.status, self._rejection.text)
             return
-        elif exchange.h11_connection is self._h11 and not self._h11.trailing_data[0]:
+        elif exchange.state is self._h11 and not self._h11.trailing_data[0]:
             self._h11.start_next_cycle()
         if self._h11.trailing_data[0] and not self._pipeline:
             self._head_start_s = self._loop.time()
--- a/packages/pepperstair-http/pepperstair_http/exchange.py
+++ b/packages/pepperstair-http/pepperstair_http/exchange.py
@@ -47,9 +47,9 @@
     body for a complete one.
 
     An answer waits until all earlier requests of the connection are answered.
-    `h11_connection` handles this request and its answer only. `is_started` is set once
-    the handler runs. `queued_s` is how long the request waited behind earlier requests
-    before that; the client has been waiting for this time too.
+    `state` is the h11 connection for this request and its answer only. `is_started` is
+    set once the handler runs. `queued_s` is how long the request waited behind earlier
+    requests before that; the client has been waiting for this time too.
     """
 
     __slots__ = (
@@ -61,13 +61,13 @@
         "queued_s",
         "is_started",
         "request",
-        "h11_connection",
+        "state",
     )
 
     def __init__(
         self,
         channel: AnswerChannel,
-        h11_connection: h11.Connection,
+        state: h11.Connection,
         request: Request,
         body: BodyBuffer,
         arrived_s: float = 0.0,
@@ -76,7 +76,7 @@
         self.queued_s = 0.0
         self._channel = channel
         self._waiting_answer: BodyBuffer | None = None
-        self.h11_connection = h11_connection
+        self.state = state
         self.request = request
         self.body = body
         self.has_started_answer = False
@@ -144,7 +144,7 @@
 
     async def _send(self, *events: h11.Event) -> None:
         """Write events in a single write."""
-        data = b"".join([self.h11_connection.send(event) or b"" for event in events])
+        data = b"".join([self.state.send(event) or b"" for event in events])
         await self._channel.write(data)
 
     def _head(self, status: int, headers: Headers) -> h11.Response:
--- a/packages/pepperstair-peers/pepperstair_peers/counters.py
+++ b/packages/pepperstair-peers/pepperstair_peers/counters.py
@@ -25,6 +25,7 @@
     `n_rejected` counts the outgoing streams that were closed because of an
     invalid frame.
 
+    >>> from pepperstair_core.wire import Heartbeat
     >>> counters = FrameCounters()
     >>> counters.add(Heartbeat(1), 4)
     >>> dict(counters.iter_named("control"))["n_control_sent_bytes_heartbeat"]
--- a/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
@@ -115,10 +115,10 @@
         load = self._load_of(self.head.target)
         head = AnswerHead(self.head.call_id, response.status, response.headers, *load)
         part = response.body.read_nowait()
-        is_complete = response.body.is_exhausted and self.pacer.may_send_whole(
+        may_send_whole = response.body.is_exhausted and self.pacer.may_send_whole(
             len(part)
         )
-        if is_complete and self.credit.try_acquire(len(part)):
+        if may_send_whole and self.credit.try_acquire(len(part)):
             parts = [BodyPart(self.head.call_id, data) for data in iter_parts(part)]
             self.send(head, *parts, BodyEnd(self.head.call_id))
             return self._keep(response, [part]) if self.is_recorded else None
--- a/packages/pepperstair-targets/pepperstair_targets/crash_detection.py
+++ b/packages/pepperstair-targets/pepperstair_targets/crash_detection.py
@@ -24,7 +24,7 @@
 class CrashDetector:
     """Tracks the running calls of one target and detects that it has exited.
 
-    `on_exited` is called when it has, with the fingerprints of the calls that were
+    `on_exited` is called after the exit, with the fingerprints of the calls that were
     running. It must prevent further calls to the target.
     """
 
