--- a/packages/pepperstair-callers/pepperstair_callers/attempts.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempts.py
@@ -40,13 +40,13 @@
 
 log = structlog.get_logger(__name__)
 
-# The daemon next to the target gets slightly less than the remaining time, so that
-# its exact answer (not run, or unknown) arrives before the timeout of this daemon,
-# which can only report `unknown`.
+# The daemon on the target's VM gets slightly less than the remaining time, so that its
+# exact answer (not run, or unknown) arrives before the timeout of this daemon, which
+# can only report `unknown`.
 HOP_MARGIN_MS: Final = 5
 HOP_MARGIN_SHARE: Final = 0.1
 
-# Time that the call waited for a slot, set by the daemon next to the target.
+# Time that the call waited for a slot, set by the daemon on the target's VM.
 WAITED_HEADER: Final = b"pepperstair-waited-ms"
 
 
--- a/packages/pepperstair-callers/pepperstair_callers/context.py
+++ b/packages/pepperstair-callers/pepperstair_callers/context.py
@@ -37,10 +37,10 @@
 class ProxyContext(Struct, frozen=True):
     """The state and the functions that the proxy shares with the daemon.
 
-    `send_attempt` runs one attempt, on a local target or through the daemon next to the
-    target. `budget_of` returns the retry budget of a service. `now_ms` is a monotonic
-    clock. `is_starting` is true shortly after the start of the daemon, while it is
-    still receiving its configuration and targets. `service` is the service of the
+    `send_attempt` runs one attempt, on a local target or through the daemon on the
+    target's VM. `budget_of` returns the retry budget of a service. `now_ms` is a
+    monotonic clock. `is_starting` is true shortly after the start of the daemon, while
+    it is still receiving its configuration and targets. `service` is the service of the
     target on this VM, empty where it is not sent to targets. `time_to_stop_ms` is the
     time that a stopping daemon leaves for its calls, infinite if it is not stopping.
     """
--- a/packages/pepperstair-peers/pepperstair_peers/data/server.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/server.py
@@ -52,7 +52,9 @@
     RunState.NEVER_RUN: Failure(
         ErrorKind.PEER_UNREACHABLE, "the request was not received", run=RunStatus.NO
     ),
-    RunState.UNKNOWN: Failure(ErrorKind.OUTCOME_UNKNOWN, "the call record has expired"),
+    RunState.UNKNOWN: Failure(
+        ErrorKind.OUTCOME_UNKNOWN, "there is no record of the call"
+    ),
 }
 
 
@@ -195,7 +197,9 @@
         if admission is RunAdmission.FULL:
             detail = "the record of recent calls is full"
             return Failure(ErrorKind.OVERLOADED, detail, _RETRY_AFTER_MS, RunStatus.NO)
-        return Failure(ErrorKind.OUTCOME_UNKNOWN, "the call id was received before")
+        return Failure(
+            ErrorKind.OUTCOME_UNKNOWN, "the call id may have been used before"
+        )
 
     def _finish_call(self, incoming: _IncomingStream, call: IncomingCall) -> None:
         """Record the answer of a finished call, and send it to a waiting query."""
--- a/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
+++ b/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
@@ -15,8 +15,8 @@
 
 log = structlog.get_logger(__name__)
 
-# Only one target runs next to a daemon at a time, so delayed announcements come from
-# far fewer than the last 64 targets.
+# A VM runs only one target at a time, so delayed announcements come from far fewer than
+# the last 64 targets.
 N_DEPARTURES_MAX: Final = 64
 # Maximum delay of an announcement in transit. The platform states that announcements
 # may be delayed by seconds.
--- a/packages/pepperstair-targets/pepperstair_targets/runner.py
+++ b/packages/pepperstair-targets/pepperstair_targets/runner.py
@@ -204,7 +204,7 @@
             raise PepperstairError(refusal)
 
     def _refuse_unsafe(self, head: CallHead, local: LocalTarget, now_ms: float) -> None:
-        """Refuse a call that is quarantined or must not run next to those running.
+        """Refuse a call that is quarantined or must not run concurrently with others.
 
         Suspects run one at a time.
         """
