--- a/packages/pepperstair-http/pepperstair_http/exchange.py
+++ b/packages/pepperstair-http/pepperstair_http/exchange.py
@@ -46,10 +46,10 @@
     `abort`: the client then sees a reset connection and can't mistake a truncated
     body for a complete one.
 
-    An answer waits until all earlier requests of the connection are answered. `state`
-    is the h11 connection for this request and its answer only. `is_started` is set
-    once the handler runs; `queued_s` is how long the request waited behind earlier
-    requests before, which is part of the time that its client has waited.
+    An answer waits until all earlier requests of the connection are answered.
+    `state` is the h11 connection for this request and its answer only. `is_started` is
+    set once the handler runs. `queued_s` is how long the request waited behind earlier
+    requests before that; the client has been waiting for this time too.
     """
 
     __slots__ = (
@@ -130,7 +130,7 @@
             while part := body.read_nowait():
                 if not is_head_only:
                     events.append(h11.Data(data=part))
-            if body.is_empty:
+            if body.is_exhausted:
                 await self._send(*events, _END)
                 return
             if events:
--- a/packages/pepperstair-peers/pepperstair_peers/counters.py
+++ b/packages/pepperstair-peers/pepperstair_peers/counters.py
@@ -25,6 +25,7 @@
     `n_rejected` counts the outgoing streams that were closed because of an
     invalid frame.
 
+    >>> from pepperstair_core.wire import Heartbeat
     >>> counters = FrameCounters()
     >>> counters.add(Heartbeat(1), 4)
     >>> dict(counters.iter_named("control"))["n_control_sent_bytes_heartbeat"]
@@ -48,12 +49,12 @@
         """Return the total bytes of all frame types."""
         return sum(sent.n_bytes for sent in self._sent.values())
 
-    def iter_named(self, streams: str) -> Iterator[tuple[str, int]]:
+    def iter_named(self, stream_kind: str) -> Iterator[tuple[str, int]]:
         """Yield each counter with the name that it has in status and metrics."""
         for cls, sent in self._sent.items():
             name = _snake_case(cls.__name__)
-            yield f"n_{streams}_sent_frames_{name}", sent.n_frames
-            yield f"n_{streams}_sent_bytes_{name}", sent.n_bytes
+            yield f"n_{stream_kind}_sent_frames_{name}", sent.n_frames
+            yield f"n_{stream_kind}_sent_bytes_{name}", sent.n_bytes
 
 
 def _snake_case(name: str) -> str:
