--- a/emulator/pepperstair_emulator/attempts.py
+++ b/emulator/pepperstair_emulator/attempts.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """Result of a call for its sender.
+    """Result of a call as its sender sees it.
 
     `is_not_run` is True only if the call is known not to have run at any target.
     """
--- a/packages/pepperstair-cli/pepperstair_cli/commands/explain.py
+++ b/packages/pepperstair-cli/pepperstair_cli/commands/explain.py
@@ -86,7 +86,7 @@
         f"{configuration['accepted_by']} (change {configuration['change_id']})"
     )
     if configuration.get("learnt_from"):
-        yield f"  received from {configuration['learnt_from']}"
+        yield f"  learnt from {configuration['learnt_from']}"
     if configuration["rejected"]:
         rejected = configuration["rejected"]
         yield f"  version {rejected['version']} was rejected: {rejected['cause']}"
--- a/packages/pepperstair-cli/pepperstair_cli/commands/report_burn.py
+++ b/packages/pepperstair-cli/pepperstair_cli/commands/report_burn.py
@@ -64,7 +64,7 @@
         yield f"  no answer from {vm}: its calls are not counted"
     for daemon in report.daemons:
         uptime = format_duration(daemon.lived_ms)
-        yield f"  {daemon.vm} has been up for {uptime}: earlier calls are not counted"
+        yield f"  {daemon.vm} has lived {uptime}: earlier calls are not counted"
     if not report.customers:
         yield "no call and no change has been counted yet"
     for customer in report.customers:
@@ -86,7 +86,7 @@
         yield f"{start}  urgent  {_priority_cells(window.urgent)}"
         yield f"{start}  normal  {_priority_cells(window.normal)}"
     yield (
-        "  error budget remaining, from counted calls: "
+        "  budget left, by the calls counted: "
         f"urgent {format_percent(burn.urgent_budget_left_percent)}, "
         f"normal {format_percent(burn.normal_budget_left_percent)}"
     )
--- a/packages/pepperstair-cli/pepperstair_cli/request_trace.py
+++ b/packages/pepperstair-cli/pepperstair_cli/request_trace.py
@@ -24,16 +24,16 @@
     A request without any line is a failure. Either it succeeded and was not one
     of the few successful requests that are logged, or its lines are in other files.
     """
-    found: list[dict[str, Any]] = []
+    events: list[dict[str, Any]] = []
     for file in files:
         read = read_text(file)
         if read.is_err():
             return read
-        found += iter_events(read.unwrap(), request_id)
-    if not found:
+        events += iter_events(read.unwrap(), request_id)
+    if not events:
         return Err(CommandFailure((f"{request_id}: not found in these logs",)))
-    found.sort(key=lambda event: str(event.get("timestamp", "")))
-    return Ok(Report(found, join_lines(map(_format_event, found))))
+    events.sort(key=lambda event: str(event.get("timestamp", "")))
+    return Ok(Report(events, join_lines(map(_format_event, events))))
 
 
 def iter_events(text: str, request_id: str) -> Iterator[dict[str, Any]]:
--- a/packages/pepperstaird/pepperstaird/__main__.py
+++ b/packages/pepperstaird/pepperstaird/__main__.py
@@ -67,8 +67,8 @@
         return EXIT_OK
     light_imports.block_imports()
     callers_socket = open_listening_socket(parsed.unwrap().callers.address)
-    # Imported only here: these modules import asyncio and structlog, which would
-    # otherwise import the libraries that have just been blocked.
+    # Imported after `block_imports`: these modules import asyncio and structlog, which
+    # would otherwise import the blocked libraries.
     from .product import product_dependencies
     from .running import run_daemon
 
--- a/packages/pepperstaird/pepperstaird/configuration/agent.py
+++ b/packages/pepperstaird/pepperstaird/configuration/agent.py
@@ -105,7 +105,11 @@
 
     @property
     def is_floor_known(self) -> bool:
-        """Return whether every version is in force that it may have held before."""
+        """Return whether this daemon has its floor in force.
+
+        The floor consists of the versions that it may have held before its last start
+        or pause.
+        """
         return self.distribution.floor.is_known
 
     @property
@@ -199,7 +203,7 @@
         return labels
 
     def age_ms(self) -> int:
-        """Return -1 (unknown): heads are polled, without a proof for each customer."""
+        """Return -1 (unknown): heads are polled together, not confirmed by customer."""
         return -1
 
     def counters(self) -> dict[str, int]:
--- a/packages/pepperstaird/pepperstaird/configuration_operations.py
+++ b/packages/pepperstaird/pepperstaird/configuration_operations.py
@@ -110,9 +110,10 @@
 def explain_configuration(
     daemon: Daemon, customer: str, route: str
 ) -> dict[str, Any] | None:
-    """Return the origin of a customer's version in force and of one of its routes.
+    """Return the origin of a customer's version in force and the scope of a route.
 
-    Return None where no version of the customer is in force.
+    The scope is whether this proxy carries the route, with the selector and the labels
+    that decide it. Return None where no version of the customer is in force.
     """
     snapshot = daemon.configuration.get(customer)
     if snapshot is None:
--- a/packages/pepperstaird/pepperstaird/crash_reports.py
+++ b/packages/pepperstaird/pepperstaird/crash_reports.py
@@ -20,8 +20,8 @@
 log = structlog.get_logger(__name__)
 
 _N_RECORDS_PER_FRAME_MAX: Final = 64
-# Records of this period are sent together: after a crash, each concurrent request
-# that gets an answer yields one more record, which clears it.
+# Records of this period are sent together: after a crash, each other request that was
+# running yields one more record when it is answered, which clears it of suspicion.
 _BATCH_DELAY_S: Final = 0.05
 
 
@@ -29,8 +29,8 @@
     """Distributes crash records through the fleet, from neighbour to neighbour.
 
     Each daemon forwards records that are new to it, and sends a new neighbour all
-    open ones. A quarantined request is persisted on the platform too, as the record
-    would be lost if all daemons were killed.
+    open ones (those not cleared of every crash). A quarantined request is persisted on
+    the platform too, as the record would be lost if all daemons were killed.
     """
 
     def __init__(
@@ -49,8 +49,8 @@
         self._decisions = decisions
         self._now_ms = now_ms
         self._crash_numbers = itertools.count(1)
-        # Fingerprints of records to be sent, and the neighbour that sent the record,
-        # empty for this daemon or several neighbours.
+        # Maps the fingerprint of each record to be sent to the neighbour that it came
+        # from; empty if it came from this daemon or from several neighbours.
         self._pending: dict[bytes, str] = {}
         self._timer: asyncio.TimerHandle | None = None
 
@@ -86,7 +86,8 @@
         for record in quarantined:
             self._report_quarantined(record.fingerprint)
         if not quarantined:
-            # Neighbours don't have the records of the other side of a partition.
+            # During a partition, the records of daemons on its other side are
+            # available on the platform only.
             self._rows.read()
 
     def report_cleared(self, cleared: CrashRecord) -> None:
--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -124,7 +124,8 @@
             log.info(Event.DEPARTURES_RESTORED, targets=names)
 
     async def _write(self) -> None:
-        # Otherwise a restarted daemon would overwrite the departures of its row.
+        # Read first: a restarted daemon would otherwise overwrite the departures that
+        # the earlier process wrote to the row.
         await asyncio.shield(self._start_restore())
         oldest_ms = self._wall_ms() - RETENTION_MS
         departures = self._announcements.departures()
@@ -140,7 +141,10 @@
 
 
 def _iter_departures(row: Row) -> Iterator[Departure]:
-    """Yield the departures of a row; log one that another release wrote unreadably."""
+    """Yield the departures of a row; log and skip what can't be parsed.
+
+    Another release may write rows in another format.
+    """
     try:
         for name, start_ms, sequence, recorded_ms in parse_json(row.value):
             yield Departure(str(name), int(start_ms), int(sequence), int(recorded_ms))
--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -35,8 +35,8 @@
 _PULL_DELAY_S: Final = 0.25
 # Number of versions whose documents are kept as bases of deltas.
 _N_RECENT_DOCUMENTS_MAX: Final = 3
-# A delta is sent only if its size is at most this share of that of a full copy, as a
-# larger one saves too little.
+# Largest size of a delta as a share of the size of a full copy. If a delta is larger,
+# the full copy is sent, as the delta would save too little.
 _DELTA_MAX_SHARE: Final = 0.5
 
 
@@ -75,7 +75,7 @@
         self._pull_base_version: int | None = None
         self._pulled_s = 0.0
         self._pull_timer: asyncio.TimerHandle | None = None
-        # The newest version that neighbours announced, and those to pull it from.
+        # The newest version that neighbours announced, and the VMs to pull it from.
         self._newest_version = 0
         self._sources: list[str] = []
         # Versions up to this one are not pulled again, as their document was rejected.
@@ -94,8 +94,8 @@
         if self._pull_timer is not None:
             self._pull_timer.cancel()
 
-    def put_in_force(self) -> None:
-        """Send the version that was just put in force to neighbours."""
+    def publish_version(self) -> None:
+        """Announce the version just put in force, and answer pending pulls of it."""
         document = self._following.document
         self._recent_documents[document.version] = document.data
         for version in sorted(self._recent_documents)[:-_N_RECENT_DOCUMENTS_MAX]:
@@ -259,13 +259,13 @@
     def _apply_document(
         self, vm: str, data: bytes, frame: DocumentCopy | DocumentDelta
     ) -> None:
-        offer = self._offer(data, vm)
-        if offer in (OfferResult.REJECTED, OfferResult.REJECTED_BEFORE):
+        result = self._offer(data, vm)
+        if result in (OfferResult.REJECTED, OfferResult.REJECTED_BEFORE):
             self._rejected_version = self._newest_version
-        if offer is not OfferResult.IN_FORCE:
+        if result is not OfferResult.IN_FORCE:
             return
         # The neighbour has seen no newer version up to its position; a watch from an
-        # earlier position would make the source send this version once more.
+        # earlier position would make the table send this version once more.
         self._advance_position(frame.position)
         if frame.age_ms >= 0:
             self.confirm(frame.position, boot_ms() - frame.age_ms, vm)
--- a/packages/pepperstaird/pepperstaird/follower.py
+++ b/packages/pepperstaird/pepperstaird/follower.py
@@ -324,14 +324,14 @@
                 return
 
     def _offer(self, data: bytes, learnt_from: str) -> OfferResult:
-        offer = self._following.offer(data)
-        if offer is OfferResult.IN_FORCE:
+        result = self._following.offer(data)
+        if result is OfferResult.IN_FORCE:
             self._put_in_force(learnt_from)
-        elif offer is OfferResult.REJECTED:
+        elif result is OfferResult.REJECTED:
             self._report_rejected(learnt_from)
         else:
             self.n_ignored += 1
-        return offer
+        return result
 
     def _put_in_force(self, learnt_from: str) -> None:
         document = self._following.document
@@ -353,7 +353,7 @@
             log.info(Event.READY, reached_by=learnt_from)
         self._on_document()
         self.on_changed(self._snapshot)
-        self._exchange.put_in_force()
+        self._exchange.publish_version()
 
     def _report_rejected(self, learnt_from: str) -> None:
         self.n_rejected += 1
--- a/packages/pepperstaird/pepperstaird/product.py
+++ b/packages/pepperstaird/pepperstaird/product.py
@@ -21,7 +21,7 @@
 
 
 def product_dependencies() -> DaemonDependencies:
-    """Return the factories for a daemon with pepperstair's own settings file."""
+    """Return the dependencies of a daemon with pepperstair's own settings file."""
     return DaemonDependencies(
         make_platform=lambda settings: Platform(settings.platform),
         make_configuration=_make_configuration,
--- a/packages/pepperstaird/pepperstaird/quarantine_rows.py
+++ b/packages/pepperstaird/pepperstaird/quarantine_rows.py
@@ -91,7 +91,10 @@
 
 
 def _iter_records(row: Row) -> Iterator[tuple[CrashRecord, int]]:
-    """Yield the record of a row; log one that another release wrote unreadably."""
+    """Yield the record of a row; log and skip a row that can't be parsed.
+
+    Another release may write rows in another format.
+    """
     try:
         fingerprint = bytes.fromhex(row.key.removeprefix(_PREFIX))
         crash_ids, recorded_ms = parse_json(row.value)
--- a/packages/pepperstaird/pepperstaird/timings.py
+++ b/packages/pepperstaird/pepperstaird/timings.py
@@ -17,7 +17,9 @@
 
 
 class DurationHistogram:
-    """Histogram with bucket bounds growing by a tenth, so percentiles are that exact.
+    """Histogram of durations whose percentiles are exact to a tenth.
+
+    Each bucket bound is a tenth larger than the previous one.
 
     >>> histogram = DurationHistogram()
     >>> for _ in range(100):
