--- a/emulator/pepperstair_emulator/__main__.py
+++ b/emulator/pepperstair_emulator/__main__.py
@@ -15,7 +15,7 @@
 from .report import iter_routes, iter_table
 from .tally import Tally
 
-EXIT_CODE_BAD_INPUT = 2
+EXIT_BAD_INPUT = 2
 _PRODUCT = Policy("product")
 
 app = cyclopts.App(
@@ -38,7 +38,7 @@
     if parsed.is_err():
         for fault in parsed.unwrap_err():
             print(f"{file}: {fault}", file=sys.stderr)
-        return EXIT_CODE_BAD_INPUT
+        return EXIT_BAD_INPUT
     experiment = parsed.unwrap()
     if load > 0.0:
         experiment = replace(experiment, load=load)
@@ -55,7 +55,7 @@
         ]
     except UnknownConstantError as error:
         print(f"{file}: {error}", file=sys.stderr)
-        return EXIT_CODE_BAD_INPUT
+        return EXIT_BAD_INPUT
     print("\n".join(iter_table(experiment, runs)))
     if routes:
         for name, tallies in runs:
--- a/packages/pepperstaird/pepperstaird/dependencies.py
+++ b/packages/pepperstaird/pepperstaird/dependencies.py
@@ -73,13 +73,13 @@
 
 
 class MemberTable(Protocol):
-    """This daemon's entry in the platform's list of daemons."""
+    """This daemon's row in the platform's table of daemons."""
 
     def start(self) -> None:
-        """Start to write the own entry and to read the others."""
+        """Start to write the own row and to read the others."""
 
     async def remove_own(self) -> None:
-        """Delete the own entry, as this daemon leaves."""
+        """Delete the own row, as this daemon leaves."""
 
 
 class AdditionalServer(Struct, frozen=True):
--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -115,18 +115,19 @@
             return -1
         return max(0, int(boot_ms() - self._schedule.confirmed_ms))
 
-    def _announce(self, version: int, source: str = "") -> None:
+    def _announce(self, version: int, learnt_from: str = "") -> None:
         """Announce a version to the neighbours as soon as it is known to exist.
 
         They pull it immediately and receive it when it arrives here. Its propagation
         through the fleet then takes as long as the transfers, without the time that
-        each daemon on the path needs to read it.
+        each daemon on the path needs to read it. `learnt_from` is the neighbour that
+        announced the version, empty if this daemon has put it in force.
         """
         if version <= self._announced_version:
             return
         self._announced_version = version
         for vm in self._control.neighbours:
-            if vm != source:
+            if vm != learnt_from:
                 self._control.send(vm, DocumentHave(version))
 
     def confirm(self, position: int, as_of_ms: float, learnt_from: str = "") -> None:
