--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -91,8 +91,8 @@
         rows, costs = [], []
         for case in _iter_cases(fleets["chosen"], capacity_per_s, loads, arguments):
             for name, running in fleets.items():
-                answered, cost = _run_segment(case, running, arguments.segment_s)
-                rows.extend(_iter_rows(case, name, answered))
+                results, cost = _run_segment(case, running, arguments.segment_s)
+                rows.extend(_iter_rows(case, name, results))
                 costs.append((case.name, name, *cost))
     print_table(
         f"{customer}: {len(fleets['chosen'].daemons)} daemons, "
@@ -177,18 +177,18 @@
 def _run_segment(
     case: Case, running: RunningDeployment, segment_s: float
 ) -> tuple[list[CallResult], tuple[float, float]]:
-    """Run a segment; return its answers, processor ms per call and retries in %."""
+    """Run a segment; return its results, processor ms per call and retries in %."""
     retries_before = _n_retries(running)
     processor_before_s = _processor_s(running)
-    answered = asyncio.run(_offer_with_fault(case, running, segment_s))
-    n_calls = max(1, len(answered))
+    results = asyncio.run(_send_load_with_fault(case, running, segment_s))
+    n_calls = max(1, len(results))
     processor_ms = (_processor_s(running) - processor_before_s) * 1000 / n_calls
     retries_percent = 100 * (_n_retries(running) - retries_before) / n_calls
     time.sleep(1.0)
-    return answered, (processor_ms, retries_percent)
+    return results, (processor_ms, retries_percent)
 
 
-async def _offer_with_fault(
+async def _send_load_with_fault(
     case: Case, running: RunningDeployment, segment_s: float
 ) -> list[CallResult]:
     addresses = [daemon.callers for daemon in running.daemons]
@@ -200,13 +200,13 @@
         await configure_target(
             running.targets[fault.target], fault.setting, fault.value
         )
-    answered = await send_load(addresses, case.streams, segment_s, random.Random(SEED))
+    results = await send_load(addresses, case.streams, segment_s, random.Random(SEED))
     if fault is not None:
         target = running.targets[fault.target]
         await configure_target(target, fault.setting, fault.restored_value)
     if restarts is not None:
         await restarts
-    return answered
+    return results
 
 
 async def _rolling_restart(running: RunningDeployment, segment_s: float) -> None:
@@ -228,9 +228,9 @@
     return sum(processor_s(daemon.process.pid) for daemon in running.daemons)
 
 
-def _iter_rows(case: Case, name: str, answered: list[CallResult]) -> Iterator[tuple]:
+def _iter_rows(case: Case, name: str, results: list[CallResult]) -> Iterator[tuple]:
     for stream in case.streams:
-        summary = summarise(answered, stream.kind)
+        summary = summarise(results, stream.kind)
         yield (
             case.name,
             stream.kind,
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -106,9 +106,9 @@
     return RunningDeployment(deployment, fleet, targets)
 
 
-async def configure_target(target: str, what: str, value: str) -> None:
+async def configure_target(target: str, setting: str, value: str) -> None:
     """Set the `state`, `status` or `work-ms` of a target stand-in."""
-    await fetch_async(target, "PUT", f"/stand-in/{what}", value.encode())
+    await fetch_async(target, "PUT", f"/stand-in/{setting}", value.encode())
 
 
 def _intent_documents(deployment: Deployment) -> dict[str, str]:
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -61,14 +61,14 @@
         if wait_s > 0:
             await asyncio.sleep(wait_s)
         tasks.append(asyncio.create_task(client.call(stream, path, number)))
-    answered = await asyncio.gather(*tasks)
+    results = await asyncio.gather(*tasks)
     client.close()
-    return answered
+    return results
 
 
-def summarise(answered: Sequence[CallResult], kind: str) -> Summary:
+def summarise(results: Sequence[CallResult], kind: str) -> Summary:
     """Return goodput and latency of the calls of one kind."""
-    calls = [call for call in answered if call.kind == kind]
+    calls = [call for call in results if call.kind == kind]
     good_ms = [call.duration_ms for call in calls if call.is_in_time]
     if not good_ms:
         return Summary(len(calls), 0.0, float("nan"), float("nan"))
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -84,7 +84,7 @@
 ) -> tuple[str, DaemonProcess, DaemonProcess]:
     """Start the platform, two daemons and a target on the first daemon's VM.
 
-    The target processes each call for `work_ms`. Returns the target's address and the
+    The target processes each call for `work_ms`. Return the target's address and the
     two daemons.
     """
     fleet.start_platform()
--- a/tests/adapter/test_crashed_instance.py
+++ b/tests/adapter/test_crashed_instance.py
@@ -15,7 +15,7 @@
 
 @with_mesh
 async def test_crash_detected_by_one_daemon_diverts_the_calls_of_all(mesh):
-    """Guards against failed calls until each daemon has detected the crash itself."""
+    """Guards against calls that fail until each daemon itself has seen the crash."""
     once = rule("logs", "/logs/", "ledger", action={"attempts": 1})
     mesh.store.put("op", "config", document(7, once))
     crashed_vm, other, caller = [
--- a/tests/call_mesh.py
+++ b/tests/call_mesh.py
@@ -134,7 +134,7 @@
         self.is_draining = False
         self.time_to_stop_ms = math.inf
         self.is_starting = False
-        self.is_known = True
+        self.is_ready = True
         self.fingerprints: list[bytes] = []
         self.context = self._context(body_max_bytes)
         self.proxy = Proxy(self.context)
@@ -202,7 +202,7 @@
             for name, node in self.nodes.items()
         )
 
-    async def _carry(self, item, head, body):
+    async def _send_attempt(self, item, head, body):
         self.fingerprints.append(head.fingerprint)
         return await self.nodes[item.vm].runner.run(head, body)
 
@@ -215,8 +215,8 @@
             endpoints=lambda compiled: self.endpoints(),
             chooser=TargetChooser("z", rng),
             load_of=lambda endpoint: None,
-            send_attempt=self._carry,
-            is_ready=lambda: self.is_known,
+            send_attempt=self._send_attempt,
+            is_ready=lambda: self.is_ready,
             is_starting=lambda: self.is_starting,
             is_draining=lambda: self.is_draining,
             time_to_stop_ms=lambda: self.time_to_stop_ms,
--- a/tests/distribution/fake_network.py
+++ b/tests/distribution/fake_network.py
@@ -43,7 +43,10 @@
 
 
 class FakeNetwork:
-    """Delivers frames in a seeded order, and drops, repeats or cuts them on demand."""
+    """Delivers frames in a seeded order.
+
+    Frames can be dropped or duplicated, streams cut and daemons paused.
+    """
 
     def __init__(self, seed: int = 1, timing: d.Timing | None = None) -> None:
         self.rng = random.Random(seed)
@@ -54,18 +57,18 @@
         self.heads: dict[str, Head] = {}
         self.objects: dict[str, bytes] = {}
         self.bucket_tokens: dict[int, str] = {}
-        self.is_platform_out = False
+        self.has_platform_outage = False
         self.n_reads = 0
         self.drop_probability = 0.0
-        self.repeat_probability = 0.0
+        self.duplicate_probability = 0.0
         self.cut: Callable[[str, str], bool] = lambda a, b: False
-        self.suspended_vms: set[str] = set()
+        self.paused_vms: set[str] = set()
         self.sent: dict[str, int] = {}
         self._queue: list[tuple[int, int, str, int, str, Any]] = []
         self._n_queued = 0
 
     def start(self, vm: str, zone: str = "z") -> Node:
-        """Start a daemon, or restart it with empty state."""
+        """Start a daemon, or start a killed one again with empty state."""
         self.zones[vm] = zone
         rng = random.Random(f"{vm}/{self.now_ms}/{self.rng.random()}")
         node = Node(d.Distribution(vm, zone, rng, self.timing), self.now_ms + 1)
@@ -114,7 +117,7 @@
         until_ms = self.now_ms + duration_ms
         while self.now_ms < until_ms:
             for vm in list(self.nodes):
-                if vm not in self.suspended_vms:
+                if vm not in self.paused_vms:
                     self.handle(vm, d.Tick())
             self._deliver_until(self.now_ms + TICK_MS)
             self.now_ms += TICK_MS
@@ -161,7 +164,7 @@
             case d.ReadBucketTokens():
                 bucket_tokens = dict(self.bucket_tokens)
                 self._answer(
-                    vm, node, d.BucketTokensRead(self._unless_out(bucket_tokens))
+                    vm, node, d.BucketTokensRead(self._unless_outage(bucket_tokens))
                 )
             case d.ReadHeads(bucket, number):
                 heads = tuple(
@@ -170,17 +173,17 @@
                     if bucket in (None, bucket_of(customer))
                 )
                 self._answer(
-                    vm, node, d.HeadsRead(bucket, self._unless_out(heads), number)
+                    vm, node, d.HeadsRead(bucket, self._unless_outage(heads), number)
                 )
             case d.ReadHead(customer):
-                head = self._unless_out(self.heads.get(customer))
+                head = self._unless_outage(self.heads.get(customer))
                 self._answer(vm, node, d.HeadRead(customer, head))
             case d.FetchObject(head):
-                body = self._unless_out(self.objects.get(head.digest))
+                body = self._unless_outage(self.objects.get(head.digest))
                 self._answer(vm, node, d.ObjectFetched(head, body))
 
-    def _unless_out(self, answer: Any) -> Any:
-        return None if self.is_platform_out else answer
+    def _unless_outage(self, answer: Any) -> Any:
+        return None if self.has_platform_outage else answer
 
     def _answer(self, vm: str, node: Node, event: d.DistributionEvent) -> None:
         self.n_reads += 1
@@ -194,7 +197,7 @@
         self.sent[kind] = self.sent.get(kind, 0) + len(encode_frame(frame))
         if self.rng.random() < self.drop_probability:
             return
-        n_copies = 2 if self.rng.random() < self.repeat_probability else 1
+        n_copies = 2 if self.rng.random() < self.duplicate_probability else 1
         for _ in range(n_copies):
             self._put(receiver, node.incarnation, sender, frame)
 
@@ -209,11 +212,7 @@
             due_ms, _, vm, incarnation, sender, item = heapq.heappop(self._queue)
             self.now_ms = max(self.now_ms, due_ms)
             node = self.nodes.get(vm)
-            if (
-                node is None
-                or node.incarnation != incarnation
-                or vm in self.suspended_vms
-            ):
+            if node is None or node.incarnation != incarnation or vm in self.paused_vms:
                 continue
             if not sender:
                 self.handle(vm, item)
--- a/tests/distribution/test_differential.py
+++ b/tests/distribution/test_differential.py
@@ -32,9 +32,9 @@
     """Execute one step of a generated history."""
     operation, node, customer = step
     vm = f"vm-{node}"
-    if operation == "accept" and not network.is_platform_out:
+    if operation == "accept" and not network.has_platform_outage:
         network.accept(vm, make_intent(customer, f"c{number}"))
-    elif operation == "commit" and not network.is_platform_out:
+    elif operation == "commit" and not network.has_platform_outage:
         network.commit(make_intent(customer, f"c{number}"), vm)
     elif operation == "restart":
         network.kill(vm)
@@ -44,7 +44,7 @@
     elif operation == "join":
         network.set_cut(lambda a, b: False)
     elif operation in ("outage", "recover"):
-        network.is_platform_out = operation == "outage"
+        network.has_platform_outage = operation == "outage"
     network.run(100 if operation != "wait" else 2500)
     assert versions_only_increase(network)
 
@@ -61,7 +61,7 @@
     st.sampled_from((0.0, 0.3)),
     st.sampled_from((0.0, 0.3)),
 )
-def test_converges_to_the_state_of_the_naive_version(seed, steps, dropped, repeated):
+def test_converges_to_the_state_of_the_naive_version(seed, steps, dropped, duplicated):
     """Frames are lost, duplicated and reordered while daemons restart, a daemon is
     partitioned and the platform has an outage.
 
@@ -70,11 +70,11 @@
     """
     network = start_ready_network(N_NODES, seed, n_zones=2)
     network.drop_probability = dropped
-    network.repeat_probability = repeated
+    network.duplicate_probability = duplicated
     for number, step in enumerate(steps):
         execute_step(network, number, step)
-    network.drop_probability = network.repeat_probability = 0.0
-    network.is_platform_out = False
+    network.drop_probability = network.duplicate_probability = 0.0
+    network.has_platform_outage = False
     network.set_cut(lambda a, b: False)
     expected = poll({}, network.heads, network.objects)
     network.run_until(
--- a/tests/distribution/test_floor.py
+++ b/tests/distribution/test_floor.py
@@ -11,7 +11,10 @@
 
 
 def is_ready(network: FakeNetwork, vm: str) -> bool:
-    """Return whether a daemon knows its floor."""
+    """Return whether a daemon knows its floor.
+
+    The floor is the minimum versions that it must have in force to serve calls.
+    """
     return network.nodes[vm].distribution.floor.is_known
 
 
@@ -39,7 +42,7 @@
     routes.
     """
     network = network_at_version_2(4)
-    network.is_platform_out = is_out
+    network.has_platform_outage = is_out
     restart_daemon(network, "vm-1")
     network.run_until(lambda: is_ready(network, "vm-1"))
     assert network.all_in_force("lantern", 2)
@@ -58,18 +61,18 @@
     network.run_until(lambda: network.all_in_force("lantern", 1))
     lagging = {"vm-3", "vm-4"}
     network.set_cut(lambda a, b: (a in lagging) != (b in lagging))
-    network.is_platform_out = True
+    network.has_platform_outage = True
     network.accept("vm-0", make_intent("lantern", "v2"))
     network.run(1000)
     network.kill("vm-0")
-    network.suspended_vms = {"vm-1", "vm-2"}
+    network.paused_vms = {"vm-1", "vm-2"}
     network.set_cut(
         lambda a, b: "vm-0" not in (a, b) and (a in lagging) != (b in lagging)
     )
     network.start("vm-0")
     network.run(1000)
     assert not is_ready(network, "vm-0")
-    network.suspended_vms = set()
+    network.paused_vms = set()
     network.run_until(lambda: is_ready(network, "vm-0"))
     assert network.nodes["vm-0"].in_force["lantern"].head.version == 2
 
@@ -82,14 +85,14 @@
     them knows its floor.
     """
     network = network_at_version_2(4)
-    network.is_platform_out = True
+    network.has_platform_outage = True
     for vm in list(network.nodes):
         network.kill(vm)
     for vm in ("vm-0", "vm-1", "vm-2", "vm-3"):
         network.start(vm)
     network.run(20_000)
     assert not any(is_ready(network, vm) for vm in network.nodes)
-    network.is_platform_out = False
+    network.has_platform_outage = False
     network.run_until(lambda: network.all_in_force("lantern", 2))
     network.run_until(lambda: all(is_ready(network, vm) for vm in network.nodes))
 
@@ -97,10 +100,10 @@
 def test_daemon_alone_without_platform_is_not_ready():
     """A daemon starts during a platform outage and no other daemon answers.
 
-    It can't know which versions it held before, so it refuses calls as not executed.
+    It can't know which versions it held before, so it refuses calls as not run.
     """
     network = FakeNetwork()
-    network.is_platform_out = True
+    network.has_platform_outage = True
     network.start("vm-0")
     network.run(20_000)
     assert not is_ready(network, "vm-0")
@@ -131,10 +134,10 @@
     network = network_at_version_2(4)
     paused = network.nodes["vm-1"].distribution
     old_number = 7
-    network.suspended_vms = {"vm-1"}
+    network.paused_vms = {"vm-1"}
     network.accept("vm-0", make_intent("lantern", "v3"))
     network.run(1000)
-    network.is_platform_out = True
+    network.has_platform_outage = True
     list(paused.handle(d.Paused(), network.now_ms))
     versions = (("lantern", 2),)
     for vm in ("vm-0", "vm-2", "vm-3"):
@@ -144,13 +147,13 @@
     list(paused.handle(heads, network.now_ms))
     list(paused.handle(d.Tick(), network.now_ms + 5000))
     assert not paused.floor.is_known
-    network.suspended_vms = set()
+    network.paused_vms = set()
     network.run_until(lambda: is_ready(network, "vm-1"))
     assert network.nodes["vm-1"].in_force["lantern"].head.version == 3
 
 
 def test_resumed_and_restarted_daemons_do_not_wait_for_each_other():
-    """One of three daemons is frozen while a version is distributed, and resumes as
+    """One of three daemons is paused while a version is distributed, and resumes as
     another one restarts in an outage.
 
     Neither knows its floor, but the resumed one still has its held versions. If only
@@ -159,12 +162,12 @@
     network = start_ready_network(3)
     network.accept("vm-0", make_intent("lantern", "v1"))
     network.run_until(lambda: network.all_in_force("lantern", 1))
-    network.suspended_vms = {"vm-1"}
+    network.paused_vms = {"vm-1"}
     network.accept("vm-0", make_intent("lantern", "v2"))
     network.run(3000)
-    network.is_platform_out = True
+    network.has_platform_outage = True
     network.kill("vm-0")
-    network.suspended_vms = set()
+    network.paused_vms = set()
     network.handle("vm-1", d.Paused())
     network.start("vm-0")
     network.run_until(lambda: is_ready(network, "vm-0") and is_ready(network, "vm-1"))
--- a/tests/distribution/test_polling.py
+++ b/tests/distribution/test_polling.py
@@ -19,17 +19,17 @@
     assert n_reads[1] <= 1.2 * n_reads[0]
 
 
-def test_frozen_pollers_are_bypassed():
-    """Both pollers of the zone freeze, and membership has not detected it yet.
+def test_paused_pollers_are_bypassed():
+    """Both pollers of the zone are paused, and membership has not detected it yet.
 
     A change whose accepting daemon crashed would stay unknown to the whole zone. After
-    five seconds without a beacon each daemon reads the heads itself.
+    five seconds without a beacon from a poller, each daemon reads the heads itself.
     """
     network = start_ready_network(8)
     network.run(3000)
-    network.suspended_vms = set(pollers(network.nodes["vm-0"].distribution.state))
+    network.paused_vms = set(pollers(network.nodes["vm-0"].distribution.state))
     network.commit(make_intent("lantern", "a"), "vm-9")
-    running_vms = [vm for vm in network.nodes if vm not in network.suspended_vms]
+    running_vms = [vm for vm in network.nodes if vm not in network.paused_vms]
     elapsed_ms = network.run_until(
         lambda: all("lantern" in network.nodes[vm].in_force for vm in running_vms)
     )
@@ -43,10 +43,10 @@
     """
     network = start_ready_network(20, n_zones=2)
     network.run(3000)
-    network.is_platform_out = True
+    network.has_platform_outage = True
     before = network.n_reads
     network.run(60_000)
     assert network.n_reads - before < 60 * 4
-    network.is_platform_out = False
+    network.has_platform_outage = False
     network.commit(make_intent("lantern", "a"), "vm-9")
     assert network.run_until(lambda: network.all_in_force("lantern", 1)) < 8000
--- a/tests/distribution/test_spreading.py
+++ b/tests/distribution/test_spreading.py
@@ -25,7 +25,7 @@
 
 
 def test_tree_prunes_itself():
-    """Every stream carries every version until the tree is pruned.
+    """Every stream carries every version until it is pruned from the customer's tree.
 
     Without pruning, control bytes would grow with the number of streams instead of the
     number of daemons.
@@ -116,7 +116,7 @@
     restarted_vms = [f"vm-{n}" for n in range(3, 12)]
     for vm in restarted_vms:
         network.kill(vm)
-    network.is_platform_out = True
+    network.has_platform_outage = True
     for vm in restarted_vms:
         network.start(vm)
     n_served_pulls = [
@@ -130,7 +130,7 @@
 
 
 def test_pulls_beyond_the_bound_are_referred_to_other_holders():
-    """Six neighbours pull a large snapshot at the same time, and one of them is frozen.
+    """Six neighbours pull a large snapshot at the same time, and one of them is paused.
 
     Four are served. Capacity becomes free once a receiver announces the version or has
     been silent for `serving_timeout_ms`.
@@ -156,19 +156,19 @@
     assert pull("vm-6") == "SnapshotPart"
 
 
-def test_suspended_daemon_is_repaired_by_anti_entropy():
-    """A daemon is suspended while a version is distributed, with its streams open and
+def test_paused_daemon_is_repaired_by_anti_entropy():
+    """A daemon is paused while a version is distributed, with its streams open and
     the platform unavailable.
 
     The version is not announced to it again: only the comparison of digests reveals
     what it missed.
     """
     network = start_ready_network(5)
-    network.is_platform_out = True
-    network.suspended_vms = {"vm-4"}
+    network.has_platform_outage = True
+    network.paused_vms = {"vm-4"}
     network.accept("vm-0", make_intent("lantern", "a"))
     network.run(2000)
-    network.suspended_vms = set()
+    network.paused_vms = set()
     assert network.run_until(lambda: network.all_in_force("lantern", 1)) < 10_000
 
 
@@ -236,8 +236,8 @@
     assert n_bytes_before <= 65_536
 
 
-def test_frozen_neighbour_does_not_fill_the_memory():
-    """A neighbour stops reading while a customer's versions keep changing.
+def test_paused_neighbour_does_not_fill_the_memory():
+    """A paused neighbour reads nothing while a customer's versions keep changing.
 
     The queued deltas would grow until this daemon runs out of memory. A single `Have`
     replaces them, and the neighbour pulls when it resumes.
--- a/tests/soak/instance.py
+++ b/tests/soak/instance.py
@@ -27,7 +27,7 @@
 _WORK_MIN_S = 0.01
 _WORK_MAX_S = 0.06
 _SLOW_FACTOR = 10.0
-_SERVE_ON_S = 3.0
+_DEPARTURE_SERVING_S = 3.0
 _REPLACEMENT_DELAY_S = 2.2
 N_SLOTS = 4
 
@@ -136,9 +136,9 @@
             await self._post_until_accepted(*self._next_heartbeat())
         departure = Departure(self.name, self._vm, self._now_s())
         self._history.departures[self.name] = departure
-        await asyncio.sleep(_SERVE_ON_S * self._rng.random())
+        await asyncio.sleep(_DEPARTURE_SERVING_S * self._rng.random())
         await self._post(*delayed_heartbeat)
-        await asyncio.sleep(_SERVE_ON_S)
+        await asyncio.sleep(_DEPARTURE_SERVING_S)
         if not is_abrupt:
             await self._post(f"/Instances.Deregister/{self.name}", b"")
         self.stop()
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -147,7 +147,7 @@
 
 
 def test_request_after_the_acknowledged_departure_is_detected():
-    """Guards against requests to a departing instance, which breaks them by its end."""
+    """Guards against requests to a departing instance, which fail when it ends."""
     example = HistoryExample()
     example.history.departures["i-1"] = Departure("i-1", "vm-1", SENT_S - 2.5)
     assert example.violated_guarantees() == ["drain"]
@@ -166,7 +166,7 @@
 
 
 def test_return_to_an_older_version_is_detected():
-    """Guards against a daemon that routes by the previous version a second later."""
+    """Guards against a daemon that routes by version 2 and a second later by 1."""
     example = HistoryExample()
     example.version(2, "vault", SENT_S - 1.9)
     example.call("r0", SENT_S - 1.0)
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -119,8 +119,8 @@
 def test_late_commits_have_no_effect_after_a_definite_failure():
     """The network delays two commits beyond the timeout.
 
-    The operator received twice that nothing was accepted, and may have decided
-    otherwise since. Neither commit may take effect.
+    The operator was answered twice that nothing was accepted, and may since have
+    decided to make another change. Neither commit may take effect.
     """
     platform = FakePlatform()
     for _ in range(2):
--- a/tests/test_admission_in_time.py
+++ b/tests/test_admission_in_time.py
@@ -26,7 +26,11 @@
 
 
 def call(ticket, at_ms=0.0, wanted_ms=300.0, deadline_ms=800.0, **more):
-    """Return a call whose times are counted from its arrival."""
+    """Return a call whose times are counted from its arrival.
+
+    An answer after `wanted_ms` is worth less to the caller, one after `deadline_ms`
+    nothing.
+    """
     priority = more.get("priority", "normal")
     route = more.get("route", "r")
     return WaitingCall(
@@ -145,7 +149,7 @@
     arrivals = poisson_calls(rng, n_per_s, UNTIL_MS, lambda _, at_ms: at_ms)
     served, calls, ends = Served(), {}, []
 
-    def take(verdicts, now_ms):
+    def handle_verdicts(verdicts, now_ms):
         for verdict in verdicts:
             arrived_ms = calls[verdict.ticket].arrived_ms
             if isinstance(verdict, Admitted):
@@ -160,10 +164,12 @@
             end_ms, arrived_ms, work_ms = ends.pop(0)
             served.n_in_time += end_ms - arrived_ms <= WANTED_MS
             served.n_late += WANTED_MS < end_ms - arrived_ms <= TIMEOUT_MS
-            take(admission.finish("c", "normal", work_ms, end_ms, "r"), end_ms)
-        take(admission.expire(at_ms), at_ms)
+            handle_verdicts(
+                admission.finish("c", "normal", work_ms, end_ms, "r"), end_ms
+            )
+        handle_verdicts(admission.expire(at_ms), at_ms)
         calls[ticket] = call(ticket, at_ms, wanted_ms, TIMEOUT_MS)
-        take(admission.arrive(calls[ticket], at_ms), at_ms)
+        handle_verdicts(admission.arrive(calls[ticket], at_ms), at_ms)
     return served
 
 
@@ -174,12 +180,12 @@
     With a queue up to the deadlines, the target does the same work, but nearly every
     answer is late and refused calls have waited for a long time.
     """
-    held = simulate(1.5, WANTED_MS, seed)
+    actual = simulate(1.5, WANTED_MS, seed)
     naive = simulate(1.5, math.inf, seed)
-    assert held.n_in_time > 2 * naive.n_in_time
-    assert held.n_in_time + held.n_late > 0.9 * (naive.n_in_time + naive.n_late)
-    n_at_once = sum(after_ms < WANTED_MS / 8 for after_ms in held.refused_after_ms)
-    assert n_at_once > 0.7 * len(held.refused_after_ms)
+    assert actual.n_in_time > 2 * naive.n_in_time
+    assert actual.n_in_time + actual.n_late > 0.9 * (naive.n_in_time + naive.n_late)
+    n_at_once = sum(after_ms < WANTED_MS / 8 for after_ms in actual.refused_after_ms)
+    assert n_at_once > 0.7 * len(actual.refused_after_ms)
 
 
 def test_latest_useful_start_allows_for_the_spread_of_service_times(monkeypatch):
@@ -212,7 +218,7 @@
     n_of, n_refused, n_answered = Counter(), Counter(), Counter()
     running, ends = {}, []
 
-    def take(verdicts, now_ms):
+    def handle_verdicts(verdicts, now_ms):
         for verdict in verdicts:
             waiting = running[verdict.ticket]
             if not isinstance(verdict, Admitted):
@@ -228,14 +234,14 @@
             end_ms, ended, work_ms = heapq.heappop(ends)
             waiting = running[ended]
             n_answered[waiting.route] += end_ms <= waiting.deadline_ms
-            take(
+            handle_verdicts(
                 admission.finish("c", "normal", work_ms, end_ms, waiting.route), end_ms
             )
-        take(admission.expire(at_ms), at_ms)
+        handle_verdicts(admission.expire(at_ms), at_ms)
         route, _, wanted_ms, deadline_ms = kinds[int(arriving.service_ms)]
         n_of[route] += 1
         running[ticket] = call(ticket, at_ms, wanted_ms, deadline_ms, route=route)
-        take(admission.arrive(running[ticket], at_ms), at_ms)
+        handle_verdicts(admission.arrive(running[ticket], at_ms), at_ms)
     return n_refused["short"] / n_of["short"], n_answered["long"] / n_of["long"]
 
 
--- a/tests/test_call_failures.py
+++ b/tests/test_call_failures.py
@@ -169,8 +169,9 @@
 async def test_call_to_an_unreachable_target_is_retried_or_reported_as_not_run():
     """A target's process has exited while its lease is still valid.
 
-    Otherwise, the next caller would get an error for a call that can safely be retried
-    on another target, and without another target would not know that it did not run.
+    Without a retry, the next caller would get an error for a call that can safely be
+    sent to another target. If there is none, the answer must state that the call did
+    not run.
     """
 
     async with Mesh() as mesh:
@@ -190,8 +191,8 @@
 async def test_disconnected_caller_frees_the_slot_and_cancels_the_request():
     """A caller disconnects while the target is running its request.
 
-    Otherwise, the slot would stay occupied for an answer that nobody reads; after a few
-    such callers, the target would serve no request.
+    If the request were not cancelled, its slot would stay occupied for an answer that
+    nobody reads; after a few such callers, the target would serve no request.
     """
 
     async with Mesh() as mesh:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -134,7 +134,7 @@
     assert counts(chooser, among, now_ms=back_ms)["t1"] > 0
 
 
-def test_floor_keeps_half_of_the_targets_in_use():
+def test_ejection_limit_keeps_half_of_the_targets_in_use():
     """This daemon's own network is broken, so every target appears to fail.
 
     With all targets ejected it would refuse calls long after the network recovers.
--- a/tests/test_choice_of_better.py
+++ b/tests/test_choice_of_better.py
@@ -125,7 +125,7 @@
 
 
 def test_call_that_hangs_counts_against_its_target():
-    """A target stops answering on a route whose objective keeps queueing short."""
+    """A target hangs on a route whose objective allows only short waits for a slot."""
     among = [endpoint(1), endpoint(2)]
     chooser = make_chooser()
     for item in among:
--- a/tests/test_coalescing.py
+++ b/tests/test_coalescing.py
@@ -42,7 +42,10 @@
 
 
 def test_cancelled_reader_does_not_cancel_the_read_of_another():
-    """A daemon would otherwise start without its own departure rows."""
+    """Guards against a cancelled reader that cancels a read it shares with another.
+
+    The daemon would then start without its own departure rows.
+    """
 
     async def scenario() -> None:
         rows = CoalescedRows(SlowTable(Ok(ROWS)))
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -283,10 +283,10 @@
 
 
 def test_burn_report_lists_members_that_do_not_answer(command, fleet, at):
-    """A daemon freezes, then is killed: its calls are missing from the totals.
+    """A daemon is paused, then killed: its calls are missing from the totals.
 
     A report that omitted this would show a full error budget, and one that waited
-    for the frozen daemon would never finish.
+    for the paused daemon would never finish.
     """
     unresponsive = fleet.start_daemon("vm-2", "pos-b", "{}")
     report = ("report", "burn", "--at", at)
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -37,9 +37,11 @@
     async def start(self, seeds: tuple[str, ...], with_relay: bool = False) -> None:
         """Listen and join the fleet, advertising a relay's address if `with_relay`."""
         counters = {kind: FrameCounters() for kind in StreamKind}
-        take = {StreamKind.CONTROL: lambda *opened: self.plane.serve_stream(*opened)}
+        handlers = {
+            StreamKind.CONTROL: lambda *opened: self.plane.serve_stream(*opened)
+        }
         listening = Identity(self.vm, self.incarnation, "")
-        self.listener = PeerListener(listening, 262_144, take, counters)
+        self.listener = PeerListener(listening, 262_144, handlers, counters)
         self.address = f"127.0.0.1:{await self.listener.listen('127.0.0.1', 0)}"
         self.relay = Relay(self.address)
         await self.relay.start()
@@ -136,11 +138,11 @@
             first, second = daemons
             seen: set[MemberState | None] = set()
             first.plane.on_members_changed = lambda: seen.add(first.state_of("b"))
-            n_up: list[str] = []
-            first.plane.neighbour_up_callbacks.append(n_up.append)
+            connected_vms: list[str] = []
+            first.plane.neighbour_up_callbacks.append(connected_vms.append)
             for daemon in (first, second):
                 daemon.relay.silence()
-            await wait_for(lambda: bool(n_up))
+            await wait_for(lambda: bool(connected_vms))
             frames: list[object] = []
             second.plane.on_configuration_frame = lambda vm, f: frames.append(f)
 
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -105,8 +105,8 @@
         daemon.reports.report_cleared(daemon.quarantine.record_answer(fingerprint))
     await wait_for_batch()
     assert [len(frames) for frames in daemon.control.sent.values()] == [1, 1]
-    (tell_all,) = daemon.control.neighbour_up_callbacks
-    tell_all("new")
+    (send_all_records,) = daemon.control.neighbour_up_callbacks
+    send_all_records("new")
     (reported,) = daemon.control.sent["new"][0].records
     assert reported.fingerprint == b"0"
 
--- a/tests/test_data_streams.py
+++ b/tests/test_data_streams.py
@@ -152,7 +152,7 @@
         async with open_path() as path:
             body = BodyBuffer()
             path.target.response = StreamedResponse(200, (), body, lambda: None)
-            answer = await asyncio.wait_for(_begun(path, body), 5)
+            answer = await asyncio.wait_for(_start_answer(path, body), 5)
             assert await answer.body.read() == b"first "
             path.relay.cut()
             body.feed(b"second")
@@ -160,7 +160,7 @@
             async with asyncio.timeout(5):
                 assert await read_whole(answer) == b"second"
 
-    async def _begun(path: CallPath, body: BodyBuffer) -> StreamedResponse:
+    async def _start_answer(path: CallPath, body: BodyBuffer) -> StreamedResponse:
         body.feed(b"first ")
         return await path.call(call_head(1))
 
--- a/tests/test_departure_rows.py
+++ b/tests/test_departure_rows.py
@@ -95,7 +95,8 @@
 
 def test_restarted_daemon_remembers_that_its_target_drains():
     """The daemon is killed after it acknowledged that its instance drains. The new
-    process first receives a delayed heartbeat from before the draining.
+    process first receives a delayed heartbeat from before the draining, and only then
+    the next one from after it.
     """
 
     async def scenario() -> None:
@@ -117,8 +118,8 @@
 def test_unavailable_store_delays_answers_only_briefly(monkeypatch):
     """The store is down while an instance announces itself and then deregisters.
 
-    The instance waits one second for an answer and then tries the next daemon, and
-    there is none. Once the store is back, the acknowledged departure is persisted.
+    The instance waits one second for an answer before it tries another daemon, but it
+    has only this one. Once the store is back, the acknowledged departure is persisted.
     """
     monkeypatch.setattr(departure_rows, "WAIT_MAX_S", 0.01)
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -241,8 +241,8 @@
     assert following.versions() == {}
 
 
-def test_copy_that_unpacks_beyond_the_size_limit_is_refused():
-    """A few bytes that unpack to gigabytes would exhaust the VM's memory."""
+def test_copy_beyond_the_decompressed_size_limit_is_refused():
+    """A few bytes that decompress to gigabytes would exhaust the VM's memory."""
     assert decompress(compress(b"0" * DECOMPRESSED_MAX_BYTES)) is not None
     assert decompress(compress(b"0" * (DECOMPRESSED_MAX_BYTES + 1))) is None
 
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -43,14 +43,14 @@
         async with Mesh(is_idempotent=False) as mesh:
             target = await mesh.add("t1", slow_answer)
             known, mesh.table = mesh.table, RouteTable([])
-            mesh.is_starting, mesh.is_known = True, False
+            mesh.is_starting, mesh.is_ready = True, False
             _, writer = await asyncio.open_connection(*mesh.address)
             booking = "POST /{} HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\n\r\n"
             writer.write((booking.format(1) + booking.format(2)).encode())
             await wait_until(lambda: mesh.proxy.n_held_at_start > 0)
             await asyncio.sleep(0.05)
             n_held = mesh.proxy.n_held_at_start
-            mesh.table, mesh.is_known = known, True
+            mesh.table, mesh.is_ready = known, True
             await wait_until(lambda: len(target.heads) > 0)
             await asyncio.sleep(0.05)
             writer.close()
--- a/tests/test_last_hop.py
+++ b/tests/test_last_hop.py
@@ -83,8 +83,8 @@
     (head,) = target.heads
     lines = head.lower().split(b"\r\n")
     assert b"x-caller: maps" in lines and b"x-expected: a" in lines
-    (left,) = [line for line in lines if line.startswith(b"x-timeout: ")]
-    assert 0 < int(left.split()[1]) <= 700
+    (timeout_line,) = [line for line in lines if line.startswith(b"x-timeout: ")]
+    assert 0 < int(timeout_line.split()[1]) <= 700
     assert head.lower().count(b"x-caller") == 1
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -113,7 +113,7 @@
 
 
 def test_paused_daemon_suspects_no_neighbours():
-    """A frozen VM resumes: it has received nothing, but only because it was frozen.
+    """A paused VM resumes: it has received nothing, but only because it was paused.
 
     Suspecting its neighbours would make all of them refute without need.
     """
--- a/tests/test_ordered_announcements.py
+++ b/tests/test_ordered_announcements.py
@@ -54,7 +54,7 @@
     """A target crashes; its last heartbeat is delayed and arrives after the first one
     of its successor at the same address.
 
-    Otherwise, calls to the crashed target would be sent to the successor.
+    If it were applied, calls to the crashed target would be sent to the successor.
     """
     fixture = Fixture()
     fixture.accept("i-1", 100, 5)
@@ -137,7 +137,8 @@
     """A target crashes and restarts under its name, so that its sequence restarts.
     Targets don't report when they started.
 
-    Otherwise, it would get no calls until its sequence exceeded the earlier one.
+    If its announcements were rejected as outdated, it would get no calls until its
+    sequence exceeded the earlier one.
     """
     fixture = Fixture(silent_ms=3000)
     fixture.accept("i-1", 0, 50)
--- a/tests/test_process_acceptance.py
+++ b/tests/test_process_acceptance.py
@@ -51,8 +51,8 @@
 def test_accepting_daemon_dies_right_after_its_answer(fleet):
     """The daemon that accepted a change is lost with its VM immediately afterwards.
 
-    The operator was answered that the change is accepted. If only that daemon had
-    it, the change would never take effect, without an error.
+    The operator has received the answer that the change is accepted. If only that
+    daemon had it, the change would be lost without an error.
     """
     daemons = start_daemons(fleet, 4)
     for round_number, accepting in enumerate(daemons[1:], start=1):
--- a/tests/test_process_at_most_once.py
+++ b/tests/test_process_at_most_once.py
@@ -1,4 +1,4 @@
-"""Thousands of non-idempotent calls while daemons crash or freeze and targets drain."""
+"""Thousands of non-idempotent calls while daemons crash or pause and targets drain."""
 
 from __future__ import annotations
 
@@ -57,10 +57,10 @@
     def _shuffled_faults(self) -> list[Callable[[], Awaitable[None]]]:
         faults = [
             lambda: self._kill(self._random_target_daemon()),
-            lambda: self._freeze(self._random_target_daemon()),
+            lambda: self._pause(self._random_target_daemon()),
             self._drain,
             lambda: self._kill(1),
-            lambda: self._freeze(1),
+            lambda: self._pause(1),
         ]
         self.rng.shuffle(faults)
         return faults
@@ -77,7 +77,7 @@
             while not await _is_ready(restarted):
                 await asyncio.sleep(0.05)
 
-    async def _freeze(self, index: int) -> None:
+    async def _pause(self, index: int) -> None:
         daemon = self.fleet.daemons[index]
         daemon.pause()
         await asyncio.sleep(self.rng.uniform(0.3, 2.0))
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_booking_runs_twice_and_reported_runs_are_correct(fleet, seed):
-    """Target-side and caller-side daemons crash and freeze, and targets drain.
+    """Target-side and caller-side daemons crash and pause, and targets drain.
 
     A booking that ran twice charges a member twice. One that ran although its answer
     says that it did not is made again by hand. An answer that is truncated or belongs
--- a/tests/test_process_configuration.py
+++ b/tests/test_process_configuration.py
@@ -25,7 +25,7 @@
 def test_any_daemon_reports_where_a_version_is_in_force(fleet):
     """The operator queries a daemon other than the one that accepted the change.
 
-    It has to collect by itself which daemons have the version in force. A frozen
+    It has to collect by itself which daemons have the version in force. A paused
     daemon is reported as missing instead of being omitted.
     """
     daemons = start_daemons(fleet, 4)
--- a/tests/test_process_floor.py
+++ b/tests/test_process_floor.py
@@ -44,7 +44,7 @@
 def test_restart_with_a_lagging_neighbour(fleet):
     """A daemon restarts in an outage while one neighbour lacks the last version.
 
-    The lagging neighbour was frozen when the version was distributed, and resumes
+    The lagging neighbour was paused when the version was distributed, and resumes
     while the daemon queries its neighbours. Trusting its answer would put the older
     version in force.
     """
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -1,4 +1,4 @@
-"""Daemon processes that are frozen beyond their leases and resumed."""
+"""Daemon processes that are paused beyond their leases and resumed."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 )
 
 
-def test_frozen_caller_side_daemon_serves_no_old_version_when_resumed(fleet):
-    """A daemon is frozen beyond its leases, as by a pause of its VM, and resumes.
+def test_paused_caller_side_daemon_serves_no_old_version_when_resumed(fleet):
+    """A daemon is paused beyond its leases, as by a pause of its VM, and resumes.
 
     In the meantime the route was moved, and calls have queued up in its sockets. If
     they were served with the old version, they would reach the old service.
@@ -35,7 +35,7 @@
     applied = apply_intent(daemons[1], CUSTOMER, award_document("vault"))
     wait_in_force(daemons[1:], applied.version)
 
-    async def call_frozen() -> list[CallAnswer]:
+    async def call_paused() -> list[CallAnswer]:
         calls = [
             asyncio.create_task(call_async(daemons[0].callers, f"frozen-{index}"))
             for index in range(20)
@@ -44,14 +44,14 @@
         daemons[0].resume()
         return await asyncio.gather(*calls)
 
-    answers = asyncio.run(call_frozen())
+    answers = asyncio.run(call_paused())
     assert {served_by(answer) for answer in answers} <= {"", "vault"}
     wait_in_force(fleet.daemons, applied.version)
     wait_until(lambda: served_by(call(daemons[0], "later")) == "vault", "vault")
 
 
-def test_frozen_target_side_daemon_runs_no_call_past_its_deadline(fleet):
-    """A target-side daemon is frozen while calls are on their way to it.
+def test_paused_target_side_daemon_runs_no_call_past_its_deadline(fleet):
+    """A target-side daemon is paused while calls are on their way to it.
 
     The outcome is reported to their callers as unknown, and their deadlines pass.
     When the daemon resumes, it finds the calls in its socket. Running them now would
--- a/tests/test_process_pause_both.py
+++ b/tests/test_process_pause_both.py
@@ -1,4 +1,4 @@
-"""Daemon processes at both ends of a call, frozen beyond their leases and resumed."""
+"""Daemon processes at both ends of a call, paused beyond their leases and resumed."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 )
 
 
-def test_freeze_of_both_daemons_runs_no_call_past_its_deadline(fleet):
-    """The daemons at both ends of a call are frozen, and one resumes far too late.
+def test_pause_of_both_daemons_runs_no_call_past_its_deadline(fleet):
+    """The daemons at both ends of a call are paused, and one resumes far too late.
 
-    The caller-side daemon can't cancel the calls, as it is frozen too, so the
+    The caller-side daemon can't cancel the calls, as it is paused too, so the
     target-side daemon has to detect on its own that they have been waiting.
     """
     daemons = start_daemons(fleet, 4)
@@ -29,7 +29,7 @@
     assert served_by(call(daemons[1], "before")) == "ledger"
     daemons[0].pause()
 
-    async def call_and_freeze() -> None:
+    async def call_and_pause() -> None:
         calls = [
             asyncio.create_task(
                 call_async(
@@ -45,7 +45,7 @@
         daemons[1].pause()
         await asyncio.gather(*calls)
 
-    asyncio.run(call_and_freeze())
+    asyncio.run(call_and_pause())
     daemons[0].resume()
     wait_until(lambda: served_by(call(daemons[2], "after")) == "ledger", "ledger")
     daemons[1].resume()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -31,11 +31,15 @@
 
 def test_request_is_quarantined_after_three_crashes():
     quarantine = Quarantine()
-    standings = []
+    trust_levels = []
     for _ in range(N_CRASHES_MAX):
         add_crash(quarantine, POISON)
-        standings.append(quarantine.trust_level(POISON, 0))
-    assert standings == [TrustLevel.TRUSTED, TrustLevel.SUSPECT, TrustLevel.QUARANTINED]
+        trust_levels.append(quarantine.trust_level(POISON, 0))
+    assert trust_levels == [
+        TrustLevel.TRUSTED,
+        TrustLevel.SUSPECT,
+        TrustLevel.QUARANTINED,
+    ]
     refusal = quarantine.refusal(POISON, 1000)
     assert refusal.run_status is RunStatus.NO
     assert refusal.retry_after_ms == QUARANTINE_MS - 1000
@@ -151,7 +155,7 @@
         add_crash(quarantine, *running, now_ms=n_crashes)
         for answered in rng.sample(others, 400):
             quarantine.record_answer(answered)
-    standings = [quarantine.trust_level(request, n_crashes) for request in poison]
-    assert standings == [TrustLevel.QUARANTINED] * 2
+    trust_levels = [quarantine.trust_level(request, n_crashes) for request in poison]
+    assert trust_levels == [TrustLevel.QUARANTINED] * 2
     assert quarantine.n_quarantined(n_crashes) == 2
     assert n_crashes <= 12
--- a/tests/test_quarantine_differential.py
+++ b/tests/test_quarantine_differential.py
@@ -35,7 +35,7 @@
         self.charged = defaultdict(set)
         self.cleared = defaultdict(set)
 
-    def take(self, record):
+    def add_record(self, record):
         self.charged[record.fingerprint] |= set(record.crash_ids)
         self.cleared[record.fingerprint] |= set(record.cleared_ids)
 
@@ -58,16 +58,16 @@
     """Return the daemons and the naive model after a history."""
     fleet = [Quarantine() for _ in range(N_DAEMONS)]
     naive = NaiveFleet()
-    for index, (kind, daemon, what) in enumerate(history):
+    for index, (kind, daemon, argument) in enumerate(history):
         if kind == "crash":
-            for record in fleet[daemon].record_crash(what, f"c{index}", 0):
-                naive.take(record)
+            for record in fleet[daemon].record_crash(argument, f"c{index}", 0):
+                naive.add_record(record)
         elif kind == "answer":
-            record = fleet[daemon].record_answer(what)
+            record = fleet[daemon].record_answer(argument)
             if record is not None:
-                naive.take(record)
+                naive.add_record(record)
         else:
-            send_records(fleet[daemon], fleet[what])
+            send_records(fleet[daemon], fleet[argument])
     return fleet, naive
 
 
@@ -81,8 +81,8 @@
             for receiver in fleet:
                 send_records(sender, receiver)
     for quarantine in fleet:
-        standings = [quarantine.trust_level(request, 0) for request in REQUESTS]
-        assert standings == [naive.trust_level(request) for request in REQUESTS]
+        trust_levels = [quarantine.trust_level(request, 0) for request in REQUESTS]
+        assert trust_levels == [naive.trust_level(request) for request in REQUESTS]
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -94,5 +94,5 @@
         fleet[daemon].record_crash([POISON], f"p{index}", 0)
         for receiver in fleet:
             send_records(fleet[daemon], receiver)
-    standings = {quarantine.trust_level(POISON, 0) for quarantine in fleet}
-    assert standings == {TrustLevel.QUARANTINED}
+    trust_levels = {quarantine.trust_level(POISON, 0) for quarantine in fleet}
+    assert trust_levels == {TrustLevel.QUARANTINED}
--- a/tests/test_run_memory.py
+++ b/tests/test_run_memory.py
@@ -1,4 +1,4 @@
-"""Tests of the memory of non-idempotent calls."""
+"""Tests of the memory of calls, by which each non-idempotent call runs at most once."""
 
 from __future__ import annotations
 
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -19,9 +19,11 @@
 BOUND_MS = 2000.0
 STEP_MS = 10.0
 HOP_MS = 30.0
-# Time after which an unanswered read fails, or an unanswered watch after its end.
+# An unanswered read fails after the first time, and an unanswered watch when the
+# second time has passed since its end.
 READ_TIMEOUT_MS = 1500.0
 WATCH_MARGIN_MS = 1000.0
+# Time for which a daemon starts no read after it has read a newer version.
 SETTLE_MS = 400.0
 # Time until the others remove a stopped daemon from the ranking of readers.
 REMOVED_AFTER_MS = 6000.0
--- a/tests/test_started_modules.py
+++ b/tests/test_stand_in_processes.py
@@ -10,7 +10,7 @@
 from benchmarks.fleet import StandInProcess, free_port
 
 
-def started(tmp_path, code: str) -> StandInProcess:
+def start_process(tmp_path, code: str) -> StandInProcess:
     """Start a process that never listens."""
     log = tmp_path / "errors.log"
     with log.open("wb") as output:
@@ -20,16 +20,16 @@
 
 def test_stand_in_that_has_ended_is_reported_without_waiting(tmp_path):
     """Guards against a time-out that does not report why the process ended."""
-    module = started(tmp_path, "raise SystemExit('no such port')")
+    stand_in = start_process(tmp_path, "raise SystemExit('no such port')")
     with pytest.raises(TimeoutError, match="status 1\nno such port"):
-        module.wait_until_listening(f"127.0.0.1:{free_port()}", 60.0)
+        stand_in.wait_until_listening(f"127.0.0.1:{free_port()}", 60.0)
 
 
 def test_stand_in_that_runs_without_listening_is_reported_as_such(tmp_path):
-    module = started(tmp_path, "import time; time.sleep(60)")
+    stand_in = start_process(tmp_path, "import time; time.sleep(60)")
     try:
         with pytest.raises(TimeoutError, match="it runs, and nothing listens"):
-            module.wait_until_listening(f"127.0.0.1:{free_port()}", 0.1)
+            stand_in.wait_until_listening(f"127.0.0.1:{free_port()}", 0.1)
     finally:
-        module.process.kill()
-        module.process.wait()
+        stand_in.process.kill()
+        stand_in.process.wait()
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -62,9 +62,9 @@
 
     If any part of it went in force, that would be a configuration nobody wrote.
     """
-    whole = snapshot_of(1, "a")
-    assert make_snapshot(whole.head, whole.body[:-1]).is_err()
-    assert make_snapshot(replace(whole.head, digest="00"), whole.body).is_err()
+    intact = snapshot_of(1, "a")
+    assert make_snapshot(intact.head, intact.body[:-1]).is_err()
+    assert make_snapshot(replace(intact.head, digest="00"), intact.body).is_err()
 
 
 NAMES = st.lists(st.sampled_from("abcdef"), unique=True, min_size=1)
