--- a/tests/adapter/test_heartbeats.py
+++ b/tests/adapter/test_heartbeats.py
@@ -46,7 +46,7 @@
     assert (announcement.start_ms, announcement.sequence) == (GOOD["born"], 4)
 
 
-def test_starting_instance_is_cold_and_leaving_instance_is_draining():
+def test_starting_instance_is_cold_and_departing_instance_is_draining():
     assert read(cold_remaining_ms=900).unwrap().target.state is TargetState.COLD
     leaving = read(state="draining", cold_remaining_ms=900).unwrap()
     assert leaving.target.state is TargetState.DRAINING
--- a/tests/test_admission_in_time.py
+++ b/tests/test_admission_in_time.py
@@ -68,7 +68,7 @@
     assert [each[0].cause for each in verdicts[2:]] == [RefusalCause.NOT_IN_TIME] * 2
 
 
-def test_call_that_is_wanted_sooner_goes_first():
+def test_call_that_is_wanted_sooner_is_admitted_first():
     """A look-up that another request waits for arrives after archive browsing."""
     admission = busy_admission()
     admission.arrive(call(1, wanted_ms=1000, deadline_ms=2500), 0.0)
--- a/tests/test_call_decisions_against_naive.py
+++ b/tests/test_call_decisions_against_naive.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("load", [0.5, 0.9, 1.2, 2.0])
-def test_admission_is_no_worse_than_an_endless_queue(load):
+def test_admission_is_no_worse_than_an_unbounded_queue(load):
     """More calls arrive than the targets can run.
 
     An unbounded queue makes every call late, so that bookings fail along with archive
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -52,7 +52,7 @@
     assert set(chosen[2:]) <= {"t2", "t3"}
 
 
-def test_reported_queue_keeps_calls_away():
+def test_target_with_a_reported_queue_gets_no_calls():
     """Other daemons fill a target to which this daemon has sent no calls."""
     among = [endpoint(1), endpoint(2)]
     load_of = lambda item: Load(12, 30) if item is among[0] else Load(1, 0)
--- a/tests/test_choice_of_better.py
+++ b/tests/test_choice_of_better.py
@@ -52,7 +52,7 @@
     assert share(make_chooser(), among, "t2", load_of, n_answer_bytes=MAP_BYTES) == 1.0
 
 
-def test_refused_call_goes_only_where_there_is_room():
+def test_refused_call_is_retried_only_at_targets_with_free_slots():
     """One target refused a call and all others are full too.
 
     Each further attempt would be refused as well, so that one call would cost as much
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_service_whose_calls_fail_further_down_keeps_its_targets(seed):
+def test_service_with_a_failing_dependency_keeps_its_targets(seed):
     """A service is down; six in ten calls to one that needs it fail at all targets.
 
     Each target soon has five errors in a row. If one after the other were ejected, the
--- a/tests/test_coalescing.py
+++ b/tests/test_coalescing.py
@@ -49,11 +49,11 @@
 
     async def scenario() -> None:
         rows = CoalescedRows(SlowTable(Ok(ROWS)))
-        leaving = asyncio.ensure_future(rows.read_rows("member/"))
-        staying = asyncio.ensure_future(rows.read_rows("departure/"))
+        cancelled_read = asyncio.ensure_future(rows.read_rows("member/"))
+        other_read = asyncio.ensure_future(rows.read_rows("departure/"))
         await asyncio.sleep(0)
-        leaving.cancel()
-        assert await staying == Ok(ROWS[:1])
+        cancelled_read.cancel()
+        assert await other_read == Ok(ROWS[:1])
 
     asyncio.run(scenario())
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -65,7 +65,7 @@
         assert all(vm in edges[neighbour] for neighbour in neighbours)
 
 
-def test_leaving_member_changes_few_edges():
+def test_departure_of_a_member_changes_few_edges():
     before = edges_of(fleet(60))
     after = edges_of(fleet(60)[1:])
     changed = [vm for vm in after if after[vm] != before[vm]]
--- a/tests/test_ordered_announcements.py
+++ b/tests/test_ordered_announcements.py
@@ -36,7 +36,7 @@
         return {target.name: target.state for target in self.registry.targets()}
 
 
-def test_late_announcement_does_not_bring_a_draining_target_back():
+def test_late_announcement_does_not_end_the_draining_of_a_target():
     """A target announces that it drains; an earlier announcement arrives afterwards.
 
     If announcements were applied in order of arrival, the target would get new calls
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -91,7 +91,7 @@
         self.sent.extend((now_s, frame) for frame in frames)
 
 
-def test_body_leaves_in_parts_at_the_pace_of_the_link():
+def test_body_is_sent_in_parts_at_the_rate_of_the_link():
     """The answer of another call becomes ready while a download is sent."""
 
     async def scenario():
--- a/tests/test_run_memory.py
+++ b/tests/test_run_memory.py
@@ -33,14 +33,14 @@
     assert memory.n_kept_bytes == 0
 
 
-def test_call_that_comes_twice_runs_once():
+def test_call_received_twice_runs_once():
     """A head is delivered twice; the second copy must not run an award again."""
     memory = RunMemory(10)
     memory.begin(key(1), 1, 1000, 0)
     assert memory.begin(key(1), 1, 1000, 1) is RunAdmission.REPEATED
 
 
-def test_denied_call_never_runs_from_an_earlier_stream():
+def test_call_reported_as_never_run_does_not_run_from_an_earlier_stream():
     """The head arrives after its caller was told that the call had not run."""
     memory = RunMemory(10)
     assert memory.look_up(key(1), 2, 0).state is RunState.NEVER_RUN
@@ -49,7 +49,7 @@
     assert memory.begin(key(1), 1, 1000, much_later_ms) is RunAdmission.REPEATED
 
 
-def test_denied_call_may_be_sent_again_once():
+def test_call_reported_as_never_run_may_be_sent_again_once():
     memory = RunMemory(10)
     memory.look_up(key(1), 2, 0)
     assert memory.begin(key(1), 2, 60_000, 1) is RunAdmission.TAKEN
@@ -58,7 +58,7 @@
     assert memory.look_up(key(1), 2, FORGET_MARGIN_MS + 1).answer == ANSWER
 
 
-def test_forgotten_call_is_not_denied():
+def test_evicted_call_is_not_reported_as_never_run():
     """The caller's daemon was paused and looks up the call long after its deadline."""
     memory = RunMemory(10)
     memory.begin(key(1), 1, 1000, 0)
@@ -69,13 +69,13 @@
     assert memory.begin(key(2), 1, 1000, later_ms) is RunAdmission.TAKEN
 
 
-def test_running_call_is_never_forgotten():
+def test_running_call_is_never_evicted():
     memory = RunMemory(10)
     memory.begin(key(1), 1, 1, 0)
     assert memory.look_up(key(1), 1, 100 * FORGET_MARGIN_MS).state is RunState.RUNNING
 
 
-def test_full_memory_refuses_instead_of_forgetting():
+def test_full_memory_refuses_calls_instead_of_evicting_others():
     """In a flood of bookings, evicting old ones would let them run a second time."""
     memory = RunMemory(3)
     admitted = [memory.begin(key(call_id), 1, 1000, 0) for call_id in range(1, 5)]
