--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -96,7 +96,7 @@
     wait_until(lambda: bool(status_of(local_daemon).get("ready")), "vm-1 ready")
     code, body = fetch(local_daemon.operators, "PUT", "/v1/intent/lantern", INTENT)
     if code != 200:
-        raise RuntimeError(f"daemon refused the intent: status {code}, {body!r}")
+        raise RuntimeError(f"daemon refused the intent: {body!r}")
     for daemon in (local_daemon, remote_daemon):
         wait_until(
             lambda daemon=daemon: (
