--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -22,7 +22,7 @@
 
 
 def test_paused_caller_side_daemon_serves_no_old_version_when_resumed(fleet):
-    """A daemon is paused beyond its leases, as by a pause of its VM, and resumes.
+    """A daemon is paused beyond its leases, as with its VM, and then resumes.
 
     In the meantime the route was moved, and calls have queued up in its sockets. If
     they were served with the old version, they would reach the old service.
