--- a/emulator/pepperstair_emulator/__main__.py
+++ b/emulator/pepperstair_emulator/__main__.py
@@ -25,7 +25,7 @@
 
 
 @app.default
-def play(
+def run_experiment(
     file: Path,
     *,
     seeds: Annotated[int, cyclopts.Parameter(help="Runs of each policy.")] = 5,
--- a/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
@@ -22,7 +22,7 @@
 
 ANSWER_KEPT_MAX_BYTES: Final = 262_144
 KEPT_MAX_BYTES: Final = 4 * 1024 * 1024
-FORGET_MARGIN_MS: Final = 10_000
+EVICTION_MARGIN_MS: Final = 10_000
 N_SENDERS_MAX: Final = 4096
 
 Headers = tuple[tuple[bytes, bytes], ...]
@@ -64,7 +64,7 @@
 class RunAdmission(Enum):
     """Whether an arriving call may run."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     FULL = "full"
     REPEATED = "repeated"
 
@@ -99,7 +99,7 @@
     >>> memory = RunMemory(n_runs_max=10)
     >>> key = CallKey(Sender("vm-1", 7), 1)
     >>> memory.begin(key, sequence=1, time_left_ms=2000, now_ms=0)
-    <RunAdmission.TAKEN: 'taken'>
+    <RunAdmission.ACCEPTED: 'taken'>
     >>> memory.look_up(key, sequence=1, now_ms=5).state
     <RunState.RUNNING: 'running'>
     """
@@ -137,9 +137,9 @@
             return RunAdmission.FULL
         if self.n_kept_bytes >= self._kept_max_bytes:
             return RunAdmission.FULL
-        expires_ms = now_ms + time_left_ms + FORGET_MARGIN_MS
+        expires_ms = now_ms + time_left_ms + EVICTION_MARGIN_MS
         self._add(key, RunState.RUNNING, sequence, expires_ms)
-        return RunAdmission.TAKEN
+        return RunAdmission.ACCEPTED
 
     def finish(self, key: CallKey, answer: KeptAnswer | None) -> None:
         """Record the end of a run; `answer` is None if it was too large to keep."""
@@ -173,7 +173,7 @@
             return LookupResult(run.state, run.answer)
         if self._may_have_been_evicted(key) or len(self._runs) >= 2 * self._n_runs_max:
             return LookupResult(RunState.UNKNOWN)
-        self._add(key, RunState.NEVER_RUN, sequence, now_ms + FORGET_MARGIN_MS)
+        self._add(key, RunState.NEVER_RUN, sequence, now_ms + EVICTION_MARGIN_MS)
         return LookupResult(RunState.NEVER_RUN)
 
     def _add(
@@ -193,7 +193,7 @@
             if run is None or run.expires_ms > now_ms:
                 continue
             if run.state is RunState.RUNNING:
-                run.expires_ms = now_ms + FORGET_MARGIN_MS
+                run.expires_ms = now_ms + EVICTION_MARGIN_MS
                 self._push_expiry(key, run.expires_ms)
                 continue
             self._drop_answer(run)
@@ -228,7 +228,7 @@
 
 __all__ = [
     "ANSWER_KEPT_MAX_BYTES",
-    "FORGET_MARGIN_MS",
+    "EVICTION_MARGIN_MS",
     "KEPT_MAX_BYTES",
     "RunAdmission",
     "CallKey",
--- a/packages/pepperstair-http/pepperstair_http/connection.py
+++ b/packages/pepperstair-http/pepperstair_http/connection.py
@@ -210,7 +210,7 @@
             self._n_unparsed_bytes = 0
         if not surplus or self._is_close_announced:
             return False
-        limits = self._server.limits.ahead
+        limits = self._server.limits.pipelining
         if not self._pipeline.has_room(
             limits.n_requests_max, limits.request_max_bytes, limits.answer_max_bytes
         ):
@@ -229,7 +229,7 @@
             return
         newest = self._pipeline.newest
         is_body_full = newest is not None and newest.n_body_bytes > HIGH_WATER_BYTES
-        n_unparsed_max = self._server.limits.ahead.request_max_bytes
+        n_unparsed_max = self._server.limits.pipelining.request_max_bytes
         if is_body_full or self._n_unparsed_bytes > n_unparsed_max:
             self._transport.pause_reading()
         else:
--- a/packages/pepperstair-http/pepperstair_http/limits.py
+++ b/packages/pepperstair-http/pepperstair_http/limits.py
@@ -36,7 +36,7 @@
     header_max_bytes: int = 16_384
     idle_timeout_ms: int = 60_000
     header_timeout_ms: int = 0
-    ahead: PipelineLimits = field(default_factory=PipelineLimits)
+    pipelining: PipelineLimits = field(default_factory=PipelineLimits)
 
     @property
     def head_timeout_s(self) -> float:
--- a/packages/pepperstair-peers/pepperstair_peers/data/server.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/server.py
@@ -192,7 +192,7 @@
         """Record a non-idempotent call, or return the reason why it may not run."""
         now_ms = self._clock_ms()
         admission = self._memory.begin(key, sequence, time_left_ms, now_ms)
-        if admission is RunAdmission.TAKEN:
+        if admission is RunAdmission.ACCEPTED:
             return None
         if admission is RunAdmission.FULL:
             detail = "the record of recent calls is full"
--- a/packages/pepperstair-platform/pepperstair_platform/__init__.py
+++ b/packages/pepperstair-platform/pepperstair_platform/__init__.py
@@ -13,7 +13,7 @@
 from .rows import (
     N_BUCKETS,
     bucket_of,
-    bucket_of_token_key,
+    bucket_of_token_row,
     bucket_tokens_prefix,
     head_from_row,
     head_key,
@@ -38,7 +38,7 @@
     "accept_change",
     "bucket_tokens_prefix",
     "bucket_of",
-    "bucket_of_token_key",
+    "bucket_of_token_row",
     "head_from_row",
     "head_key",
     "head_prefix",
--- a/packages/pepperstair-platform/pepperstair_platform/rows.py
+++ b/packages/pepperstair-platform/pepperstair_platform/rows.py
@@ -46,7 +46,7 @@
     return "bell/"
 
 
-def bucket_of_token_key(row: Row) -> int:
+def bucket_of_token_row(row: Row) -> int:
     """Return the bucket of a bucket token's row."""
     return int(row.key.removeprefix(bucket_tokens_prefix()))
 
@@ -97,7 +97,7 @@
     "bucket_token_key",
     "bucket_tokens_prefix",
     "bucket_of",
-    "bucket_of_token_key",
+    "bucket_of_token_row",
     "change_key",
     "change_row",
     "head_from_change",
--- a/packages/pepperstaird/pepperstaird/configuration/source.py
+++ b/packages/pepperstaird/pepperstaird/configuration/source.py
@@ -24,7 +24,7 @@
 from pepperstair_core.versions import Head
 from pepperstair_platform import (
     Platform,
-    bucket_of_token_key,
+    bucket_of_token_row,
     bucket_tokens_prefix,
     head_from_row,
     head_key,
@@ -95,7 +95,7 @@
         if read.is_err():
             return BucketTokensRead(None)
         return BucketTokensRead(
-            {bucket_of_token_key(row): row.value for row in read.unwrap()}
+            {bucket_of_token_row(row): row.value for row in read.unwrap()}
         )
 
     async def _read_heads(self, bucket: int | None, number: int) -> DistributionEvent:
--- a/packages/pepperstaird/pepperstaird/daemon.py
+++ b/packages/pepperstaird/pepperstaird/daemon.py
@@ -192,7 +192,7 @@
                 settings.callers.n_connections_max,
                 settings.callers.header_max_bytes,
                 settings.callers.idle_timeout_ms,
-                ahead=PipelineLimits(
+                pipelining=PipelineLimits(
                     settings.callers.n_requests_ahead_max,
                     settings.callers.ahead_request_max_bytes,
                     settings.callers.ahead_answer_max_bytes,
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -9,7 +9,7 @@
 
 from pepperstair_core.calls import service_times
 from pepperstair_emulator import Fleet, Policy, apply_policy, parse_experiment_toml
-from pepperstair_emulator.__main__ import play
+from pepperstair_emulator.__main__ import run_experiment
 from pepperstair_emulator.experiment import ConstantChange, FaultModel
 from pepperstair_emulator.policies import UnknownConstantError
 from pepperstair_emulator.report import worth_of
@@ -78,14 +78,14 @@
     file = tmp_path / "e.toml"
     changed = f'[[policies.constants]]\nname = "{name}"\nvalue = 0\n'
     file.write_text(f'{SMALL}\n[[policies]]\nname = "p"\n{changed}')
-    assert play(file, seeds=1) == 2
+    assert run_experiment(file, seeds=1) == 2
     assert capsys.readouterr().err.count("\n") == 1
 
 
 def test_faults_of_a_file_are_listed(tmp_path, capsys):
     file = tmp_path / "e.toml"
     file.write_text(SMALL.replace('service = "ledger"', 'service = "vault"'))
-    assert play(file) == 2
+    assert run_experiment(file) == 2
     assert "vault" in capsys.readouterr().err
 
 
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -200,7 +200,7 @@
     targets.
     """
     recorder = RecordingHandler()
-    limits = ServerLimits(ahead=PipelineLimits(n_requests_max=n_max))
+    limits = ServerLimits(pipelining=PipelineLimits(n_requests_max=n_max))
     sent = b"".join(request(f"r{i}", 10) for i in range(9)) + request("l", last=True)
     answer = serve(sending_client(sent), recorder.handle, limits)
     assert answered_names(answer) == [f"r{i}" for i in range(9)] + ["l"]
@@ -209,7 +209,7 @@
 
 def test_reading_pauses_at_the_byte_limit_and_resumes():
     recorder = RecordingHandler()
-    limits = ServerLimits(ahead=PipelineLimits(2, 2_000, 1_000_000))
+    limits = ServerLimits(pipelining=PipelineLimits(2, 2_000, 1_000_000))
     n_requests = 4_000
 
     async def client(reader, writer) -> int:
@@ -247,7 +247,7 @@
         writer.write(b"GET /end HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
         return n_before, await reader.read()
 
-    limits = ServerLimits(ahead=PipelineLimits(16, 65_536, 120_000))
+    limits = ServerLimits(pipelining=PipelineLimits(16, 65_536, 120_000))
     n_before, answer = serve(client, handle, limits)
     assert n_before == 4
     assert answer.count(b"HTTP/1.1 200") == 8
--- a/tests/test_run_memory.py
+++ b/tests/test_run_memory.py
@@ -4,7 +4,7 @@
 
 from pepperstair_core.calls.run_memory import (
     ANSWER_KEPT_MAX_BYTES,
-    FORGET_MARGIN_MS,
+    EVICTION_MARGIN_MS,
     CallKey,
     KeptAnswer,
     RunAdmission,
@@ -24,7 +24,7 @@
 
 def test_answer_is_kept_until_it_is_released():
     memory = RunMemory(10)
-    assert memory.begin(key(1), 1, 1000, 0) is RunAdmission.TAKEN
+    assert memory.begin(key(1), 1, 1000, 0) is RunAdmission.ACCEPTED
     assert memory.look_up(key(1), 1, 1).state is RunState.RUNNING
     memory.finish(key(1), ANSWER)
     assert memory.look_up(key(1), 1, 2).answer == ANSWER
@@ -45,17 +45,17 @@
     memory = RunMemory(10)
     assert memory.look_up(key(1), 2, 0).state is RunState.NEVER_RUN
     assert memory.begin(key(1), 1, 1000, 1) is RunAdmission.REPEATED
-    much_later_ms = 10 * FORGET_MARGIN_MS
+    much_later_ms = 10 * EVICTION_MARGIN_MS
     assert memory.begin(key(1), 1, 1000, much_later_ms) is RunAdmission.REPEATED
 
 
 def test_call_reported_as_never_run_may_be_sent_again_once():
     memory = RunMemory(10)
     memory.look_up(key(1), 2, 0)
-    assert memory.begin(key(1), 2, 60_000, 1) is RunAdmission.TAKEN
+    assert memory.begin(key(1), 2, 60_000, 1) is RunAdmission.ACCEPTED
     assert memory.begin(key(1), 2, 60_000, 2) is RunAdmission.REPEATED
     memory.finish(key(1), ANSWER)
-    assert memory.look_up(key(1), 2, FORGET_MARGIN_MS + 1).answer == ANSWER
+    assert memory.look_up(key(1), 2, EVICTION_MARGIN_MS + 1).answer == ANSWER
 
 
 def test_evicted_call_is_not_reported_as_never_run():
@@ -63,23 +63,23 @@
     memory = RunMemory(10)
     memory.begin(key(1), 1, 1000, 0)
     memory.finish(key(1), ANSWER)
-    later_ms = 1001 + FORGET_MARGIN_MS
+    later_ms = 1001 + EVICTION_MARGIN_MS
     assert memory.look_up(key(1), 1, later_ms).state is RunState.UNKNOWN
     assert memory.begin(key(1), 1, 1000, later_ms) is RunAdmission.REPEATED
-    assert memory.begin(key(2), 1, 1000, later_ms) is RunAdmission.TAKEN
+    assert memory.begin(key(2), 1, 1000, later_ms) is RunAdmission.ACCEPTED
 
 
 def test_running_call_is_never_evicted():
     memory = RunMemory(10)
     memory.begin(key(1), 1, 1, 0)
-    assert memory.look_up(key(1), 1, 100 * FORGET_MARGIN_MS).state is RunState.RUNNING
+    assert memory.look_up(key(1), 1, 100 * EVICTION_MARGIN_MS).state is RunState.RUNNING
 
 
 def test_full_memory_refuses_calls_instead_of_evicting_others():
     """In a flood of bookings, evicting old ones would let them run a second time."""
     memory = RunMemory(3)
     admitted = [memory.begin(key(call_id), 1, 1000, 0) for call_id in range(1, 5)]
-    assert admitted == [RunAdmission.TAKEN] * 3 + [RunAdmission.FULL]
+    assert admitted == [RunAdmission.ACCEPTED] * 3 + [RunAdmission.FULL]
     assert memory.look_up(key(1), 1, 1).state is RunState.RUNNING
     assert memory.begin(key(4), 1, 1000, 2) is RunAdmission.FULL
 
@@ -91,7 +91,7 @@
         memory.finish(key(call_id), ANSWER)
     assert memory.begin(key(3), 1, 1000, 0) is RunAdmission.FULL
     memory.release(key(1))
-    assert memory.begin(key(3), 1, 1000, 0) is RunAdmission.TAKEN
+    assert memory.begin(key(3), 1, 1000, 0) is RunAdmission.ACCEPTED
 
 
 def test_huge_answer_is_not_kept():
@@ -105,4 +105,4 @@
     memory = RunMemory(10)
     memory.begin(key(1), 1, 1000, 0)
     successor = CallKey(Sender("vm-1", 8), 1)
-    assert memory.begin(successor, 1, 1000, 0) is RunAdmission.TAKEN
+    assert memory.begin(successor, 1, 1000, 0) is RunAdmission.ACCEPTED
