--- a/benchmarks/neighbours.py
+++ b/benchmarks/neighbours.py
@@ -59,7 +59,7 @@
 def pair_picker(
     members: list[Member], n_zone: int, n_remote: int
 ) -> Callable[[Member], Iterable[str]]:
-    """Return a function that picks by pair weight, in the own and in other zones."""
+    """Return a function that picks by pair weight, in the same and in other zones."""
 
     def pick(own: Member) -> list[str]:
         def pair_weight(other: Member) -> int:
--- a/packages/pepperstair-callers/pepperstair_callers/attempt_ends.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempt_ends.py
@@ -58,7 +58,7 @@
 
 
 def classify_failure(failure: Failure, is_full_timeout: bool) -> EndKind:
-    """Return how a failed attempt counts for its target."""
+    """Return the kind of end of an attempt that failed."""
     if failure.kind in _REFUSAL_KINDS:
         return EndKind.REFUSED
     if failure.kind is ErrorKind.PEER_UNREACHABLE:
@@ -71,9 +71,9 @@
 
 
 def classify_answer(status: int, is_complete: bool) -> EndKind:
-    """Return how an answer counts for its target.
+    """Return the kind of end of an attempt that was answered.
 
-    `is_complete` is false where the answer was cut off while it was relayed.
+    `is_complete` is false if the answer was truncated while it was relayed.
     """
     if is_complete and status in _SHEDDING_STATUSES:
         return EndKind.REFUSED
--- a/packages/pepperstair-callers/pepperstair_callers/proxy.py
+++ b/packages/pepperstair-callers/pepperstair_callers/proxy.py
@@ -54,7 +54,7 @@
         self._scopes: set[asyncio.Timeout] = set()
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request with the target's whole answer or with a failure."""
+        """Answer one request with the target's complete answer or with a failure."""
         self.n_calls += 1
         self.n_in_flight += 1
         start_ms = self._context.now_ms() - exchange.queued_s * 1000
@@ -128,8 +128,8 @@
 
         A daemon that restarts after a kill receives its configuration and targets some
         tenths of a second after it starts to listen. If it refused requests meanwhile,
-        its callers would spend a second and one of their few retries; after a kill of
-        all daemons, every caller would.
+        each of its callers would lose a second and use up one of its few retries; after
+        a kill of all daemons, this would affect every caller.
         """
         timeout_ms = self._read_head(request.headers).timeout_ms
         wait_max_ms = STARTUP_WAIT_MAX_MS
@@ -185,11 +185,12 @@
     async def _relay_answer(
         self, exchange: Exchange, call: ProxiedCall, response: StreamedResponse
     ) -> bool:
-        """Relay an answer and return whether it was relayed whole.
+        """Relay an answer and return whether it was relayed completely.
 
-        An answer that has arrived whole frees the target's slot at once. Relaying it
-        may have to wait for the answer to an earlier request on the caller's
-        connection; a slot held until then would be idle and make the target look busy.
+        An answer that has arrived completely frees the target's slot at once.
+        Relaying it may have to wait for the answer to an earlier request on the
+        caller's connection; a slot held until then would be idle and make the target
+        look busy.
         """
         if response.body.is_complete:
             response.cancel()
--- a/packages/pepperstair-callers/pepperstair_callers/relay.py
+++ b/packages/pepperstair-callers/pepperstair_callers/relay.py
@@ -37,10 +37,10 @@
 
 
 async def relay(exchange: Exchange, response: StreamedResponse) -> bool:
-    """Relay an answer and return whether it was relayed whole.
+    """Relay an answer and return whether it was relayed completely.
 
-    If the answer is cut off, the caller's connection is reset, so that the caller gets
-    an error and can't mistake a partial answer for a whole one.
+    If the answer is truncated, the caller's connection is reset, so that the caller
+    gets an error and can't mistake a partial answer for a complete one.
     """
     headers = (*end_to_end_headers(response.headers), _RUN_YES)
     try:
--- a/packages/pepperstair-callers/pepperstair_callers/request_body.py
+++ b/packages/pepperstair-callers/pepperstair_callers/request_body.py
@@ -12,7 +12,7 @@
 
 log = structlog.get_logger(__name__)
 
-# Bodies up to this size are read whole before the first attempt, so that a refused
+# Bodies up to this size are read completely before the first attempt, so that a refused
 # call can be retried on another target. Larger bodies are streamed and can be sent
 # again only while nothing of them has been read.
 REPLAY_MAX_BYTES: Final = 65_536
@@ -53,7 +53,7 @@
         return self._buffered[:REPLAY_MAX_BYTES]
 
     def buffer_nowait(self) -> bool:
-        """Buffer a small body that has arrived whole, and return whether it has."""
+        """Buffer a small body that has arrived completely; return whether it has."""
         source = self._source
         if not source.is_complete or source.n_bytes > REPLAY_MAX_BYTES:
             return False
@@ -65,7 +65,7 @@
         return True
 
     async def buffer(self) -> None:
-        """Buffer a small body whole, or the start of a larger one."""
+        """Buffer a complete small body, or the start of a larger one."""
         parts = []
         n_bytes = 0
         while n_bytes <= REPLAY_MAX_BYTES and (part := await self._source.read()):
@@ -112,7 +112,7 @@
         self.is_read_started = False
 
     async def read(self) -> bytes:
-        """Return the next part, b"" at the end, or raise if the body was cut off."""
+        """Return the next part, b"" at the end, or raise if the body is truncated."""
         self.is_read_started = True
         if kept := super().read_nowait():
             return kept
--- a/packages/pepperstair-cli/pepperstair_cli/changes.py
+++ b/packages/pepperstair-cli/pepperstair_cli/changes.py
@@ -51,7 +51,7 @@
         change_id=change_id,
         from_version=options.from_version,
         # An explicit change id may belong to an earlier attempt, perhaps sent to
-        # another daemon. During a platform outage only that daemon can tell for
+        # another daemon. During a platform outage only that daemon knows for
         # certain that the change was not accepted.
         is_asked_again="true" if options.change_id else None,
     )
--- a/packages/pepperstair-cli/pepperstair_cli/fleet.py
+++ b/packages/pepperstair-cli/pepperstair_cli/fleet.py
@@ -17,7 +17,7 @@
 from .output import CommandFailure
 
 _N_REQUESTS_IN_FLIGHT_MAX: Final = 32
-# A frozen member never answers, and many frozen members must not delay the report.
+# A paused member never answers, and many paused members must not delay the report.
 _MEMBER_TIMEOUT_MS: Final = 2000
 _INACTIVE_STATES: Final = frozenset({"gone", "left"})
 
--- a/packages/pepperstair-core/pepperstair_core/calls/admission.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/admission.py
@@ -24,14 +24,15 @@
 # every deferrable call is old, and running all of them first would invert priorities.
 AGED_GRANT_INTERVAL: Final = 10
 AGED_AFTER_MS: Final = 500.0
-# Calls that can no longer be answered in time wait behind those that can, for at
-# most this share of the time they had left on arrival. An early refusal leaves their
-# callers time to go elsewhere, and a third is what callers wait before their own retry.
+# Calls that can no longer be answered in their wanted time are queued behind those that
+# can, for at most this share of the time between their arrival and their deadline. An
+# early refusal leaves their callers time to try another target; callers themselves
+# retry after a third of their time.
 LATE_WAIT_SHARE: Final = 1 / 3
 # An overload is over when no call has been refused for this time.
 OVERLOAD_GAP_MS: Final = 1_000.0
-# For how long after its arrival a call counts as a sign that calls of its priority
-# still arrive.
+# Calls of a priority are considered to be arriving if the last one arrived within this
+# time.
 LESS_URGENT_RECENT_MS: Final = 1_000.0
 
 
@@ -144,8 +145,8 @@
         """Refuse the calls that can no longer be answered in time.
 
         They are refused as soon as that is certain rather than at their deadline, so
-        that the caller still has time to go elsewhere. A call that has only become
-        late stays queued if no other call waits.
+        that the caller still has time to try another target. A call that has only
+        become late stays queued if no other call waits.
         """
         verdicts: list[Verdict] = []
         while (expiry_ms := self.next_expiry_ms) is not None and expiry_ms <= now_ms:
@@ -177,9 +178,10 @@
         """Return why a call must not be queued, or None if it may wait.
 
         Under overload some calls have to be refused. If all were queued up to their
-        deadlines, the queue would stay that long and every answer would arrive when
-        it is hardly wanted any more. With a queue short enough for its calls to be
-        answered in time, the same slots serve as many callers, and without delay.
+        deadlines, the queue would remain that long and every answer would arrive
+        shortly before its deadline, when it has little value. A shorter queue, whose
+        calls can be answered in their wanted time, serves as many callers with the
+        same slots, and without that delay.
         """
         is_late = self._is_late(call, now_ms)
         start_ms = self._expected_start_ms(call, now_ms, is_late)
@@ -192,13 +194,13 @@
     def _may_wait_until_deadline(self, call: WaitingCall) -> bool:
         """Return whether a call may wait past its wanted time, up to its deadline.
 
-        It may while less urgent calls arrive, as other requests then depend on it: a
-        look-up for a page that a service builds is worth as much late as in time, and
-        refusing it fails the whole page. The slots that it waits for are those of the
-        less urgent calls.
+        It may while less urgent calls arrive, as it is then assumed to be part of
+        another request: if a service builds a page, a late look-up is as useful as one
+        in time, and refusing it makes the whole page fail. The slots that it waits for
+        would otherwise run the less urgent calls.
 
         It may also if it takes a fraction of the time of other calls: refusing it frees
-        hardly any time for them, and such a short call is mostly part of another
+        hardly any time for them, and such a short call is usually part of another
         request.
         """
         if self._times.is_short(call):
@@ -270,8 +272,8 @@
                 n_ahead += queue.n_ahead(call.customer, order)
                 break
             n_ahead += len(queue)
-        n_turns = (n_ahead + 1) / max(1, self.n_slots)
-        return now_ms + n_turns * self._times.mean_ms
+        n_rounds = (n_ahead + 1) / max(1, self.n_slots)
+        return now_ms + n_rounds * self._times.mean_ms
 
     def _grant(self, now_ms: float) -> list[Verdict]:
         verdicts = self.expire(now_ms)
@@ -288,7 +290,8 @@
         filled = [queue for queue in self._queues.values() if queue]
         if self._n_grants % AGED_GRANT_INTERVAL == 0 and len(filled) > 1:
             # Without this share, deferrable calls would never run while more urgent
-            # ones keep all slots busy, and an archive would appear to be down.
+            # ones keep all slots busy, and a service that receives only deferrable
+            # calls, such as an archive, would appear to be down.
             oldest = min((q.oldest() for q in filled[1:]), key=lambda c: c.arrived_ms)
             if now_ms - oldest.arrived_ms >= AGED_AFTER_MS:
                 self._queues[oldest.priority].remove(oldest)
@@ -332,9 +335,9 @@
         if now_ms - self._last_refused_ms > OVERLOAD_GAP_MS:
             self._overloaded_since_ms = now_ms
         self._last_refused_ms = now_ms
-        n_turns = (len(self._waiting) + 1) / max(1, self.n_slots)
+        n_rounds = (len(self._waiting) + 1) / max(1, self.n_slots)
         lasted_ms = now_ms - self._overloaded_since_ms
-        retry_after_ms = int(max(n_turns * self._times.mean_ms, lasted_ms))
+        retry_after_ms = int(max(n_rounds * self._times.mean_ms, lasted_ms))
         bounded = min(RETRY_AFTER_MAX_MS, max(RETRY_AFTER_MIN_MS, retry_after_ms))
         return Refused(call.ticket, cause, bounded)
 
--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -22,16 +22,18 @@
 
 # How long a target is avoided after a refusal, unless that requests a shorter delay.
 AVOIDED_MS: Final = 1_000
-# Shorter than `AVOIDED_MS`, as each answer updates the reported load of a full target.
+# How long a target is avoided after it refused a call because its queue was full.
+# Shorter than `AVOIDED_MS`, as each answer updates the reported load of such a target.
 FULL_AVOIDED_MS: Final = 50
-# How much shorter the wait in another zone must be, in answer times, on top of the
-# transfer cost of the answer: 100 KB count as one answer time.
+# How much shorter the wait in another zone must be, in addition to the transfer cost of
+# the answer. The unit of both is the answer time of the fastest target; a transfer of
+# 100 KB between zones counts as one unit.
 ZONE_MARGIN: Final = 0.25
 ZONE_MARGIN_PER_BYTE: Final = 1e-5
 # Up to this expected wait a target has a free slot and a call need not queue.
 FREE_SLOT_WAIT_MAX: Final = 1.0
-# How much fuller, as a share of its slots, a target of the own zone must be than one of
-# another zone for a call to cross zones if neither has a free slot.
+# How much fuller, as a share of its slots, a target of this daemon's zone must be than
+# one of another zone for a call to cross zones if neither has a free slot.
 FULL_ZONE_MARGIN: Final = 1.0
 # A target is quick enough for a route if its mean answer takes at most this share of
 # the objective; the remainder is a margin for slower answers.
@@ -43,7 +45,8 @@
 # A daemon that starts discovers all targets within some seconds: they are announced
 # every 1.5 s and the announcements are relayed by one or two other daemons.
 JOINING_MS: Final = 5_000
-# Dozens of services have one group each, and a new one whenever members change.
+# Maximum number of cached groups. Each of dozens of services has a group, which is
+# replaced by a new one whenever members change.
 N_GROUPS_MAX: Final = 64
 
 
@@ -85,12 +88,12 @@
     ) -> Endpoint | None:
         """Return the endpoint for one call, or None if there is none.
 
-        The call counts as in flight on the endpoint until `end` is called. Urgent
-        calls hardly wait for a slot, so the time since their start is the time that
-        the target takes. With an `objective_ms` the wait for a slot is short, so that
-        a long time since the start is also a sign of a slow target. `n_answer_bytes`
-        is the expected size of the answer, which counts if it crosses zones. With
-        `is_free_slot_required` only a target with a free slot is returned.
+        The call counts as in flight on the endpoint until `end` is called. The age of
+        a call in flight shows how slow its target is if the call did not wait long for
+        a slot: urgent calls hardly wait, and calls with an `objective_ms` wait only
+        for a short time. `n_answer_bytes` is the expected size of the answer, which
+        counts if it crosses zones. With `is_free_slot_required` only a target with a
+        free slot is returned.
         """
         group = self._group(endpoints, now_ms)
         if not any(item.key not in excluded for item in endpoints):
@@ -280,14 +283,14 @@
         is_quick: Callable[[Endpoint], bool],
         n_answer_bytes: float,
     ) -> Endpoint:
-        """Return the better of two targets, from the own zone while it has free slots.
+        """Return the better of two targets, from this zone while it has free slots.
 
         Traffic between zones is slow and billed. If the other zone has no free slot
-        either, a call gains by crossing only if its own zone is much fuller, and a
-        call with a large answer never does. A target of the own zone that is slower
-        than others still answers in time while it is quick enough for the objective.
-        If it were used for only a third of its slots, it would be idle while every
-        second call crosses zones.
+        either, a call gains by crossing only if this zone is much fuller, and a call
+        with a large answer never does. A target of this zone that is slower than others
+        still answers in time while it is quick enough for the objective. Otherwise
+        calls would cross zones when only a third of its slots are in use: the target
+        would be mostly idle while every second call crosses zones.
         """
         near, far = candidates
         if not near:
--- a/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
@@ -14,9 +14,9 @@
 if TYPE_CHECKING:
     from ..routing import Endpoint
 
-# Up to this failure rate a target is used like any other: the mean rate of all targets
-# times the factor, plus the rate. A rate over ten calls varies by a third of itself or
-# more.
+# A target is used like any other while its failure rate is at most the mean rate of all
+# targets times this factor, plus this rate. A rate measured over ten calls varies by a
+# third of its value or more.
 TOLERATED_FAILURE_FACTOR: Final = 1.5
 TOLERATED_FAILURE_RATE: Final = 0.05
 # How failures above that rate count: a target that fails another tenth of its calls is
@@ -55,8 +55,8 @@
 
     The unit is the answer time of the fastest target; up to 1 a slot is free. This
     daemon's own calls are counted exactly. The load report, which may be a second
-    old, adds the calls of other daemons and never lowers the own count. The recorded
-    latency makes the queue of a slow target count for more.
+    old, adds the calls of other daemons and never lowers this daemon's count. The
+    recorded latency makes the queue of a slow target count for more.
     """
     fastest_ms = statistics.fastest_ms
     tolerated_rate = (
--- a/packages/pepperstair-core/pepperstair_core/calls/pacing.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/pacing.py
@@ -53,7 +53,7 @@
         paced_bytes = int(_PART_MS * link_bytes_per_ms)
         self.part_bytes = min(part_max_bytes, max(_PART_MIN_BYTES, paced_bytes))
 
-    def may_send_whole(self, n_bytes: int) -> bool:
+    def may_send_in_one_write(self, n_bytes: int) -> bool:
         """Return whether an answer may be sent in a single write, without parts."""
         return not self._bytes_per_ms or n_bytes <= self.part_bytes
 
--- a/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
@@ -1,8 +1,8 @@
 """Outcomes of the non-idempotent calls that this process has accepted.
 
 A stream can be lost after a target ran a call and before the answer arrived. The
-caller's daemon then asks by id and must get the answer of that one run or its true
-state: "not run" is returned only if the call can never run any more.
+caller's daemon then queries the call by its id and must get the answer of that one run
+or its true state: "not run" is returned only if the call can never run any more.
 
 The memory is bounded by refusing new calls as not run. A call is evicted only when
 its deadline and a margin have passed. From then on its id and all lower ids of the
@@ -43,7 +43,7 @@
 
 
 class KeptAnswer(Struct, frozen=True):
-    """A target's whole answer, or the failure that ended the call."""
+    """A target's complete answer, or the failure that ended the call."""
 
     status: int
     headers: Headers
@@ -162,9 +162,9 @@
         """Return the state of a call, and its answer if that is kept.
 
         A call that has not arrived is recorded as never run, because its head may
-        still arrive on the lost stream and would run after the caller was told that
-        it had not. The state is unknown if the call may have been evicted, or if too
-        many calls are recorded.
+        still arrive on the lost stream and would run after it was reported to the
+        caller as not run. The state is unknown if the call may have been evicted, or
+        if too many calls are recorded.
         """
         self._evict_expired(now_ms)
         run = self._runs.get(key)
--- a/packages/pepperstair-core/pepperstair_core/calls/service_times.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/service_times.py
@@ -19,7 +19,7 @@
 N_USEFUL_DEVIATIONS: Final = 1.0
 USEFUL_WORK_SHARE: Final = 0.7
 # A call is short if it takes less than this share of the time of the target's longest
-# calls: refusing it would not let one of those be answered in time instead.
+# calls: refusing it would free too little time for one of those to be answered in time.
 SHORT_SHARE: Final = 0.25
 # Factor by which the longest service time decays with each call: its half-life is 700
 # calls.
@@ -71,11 +71,13 @@
         """Return the latest start that is expected to meet the call's deadline.
 
         If the call started later, it would be answered too late and would hold a slot
-        that another call still needs. Under overload every call starts as late as
-        allowed: with the mean alone, each call that takes longer than the mean would
-        be wasted work, and goodput would fall as load rises. The estimate is that of
-        the call's priority, as one target may serve bookings and large files. It is
-        limited to between a quarter and half of the call's total time.
+        that another call still needs. The service time is estimated as the mean plus
+        `N_DEVIATIONS` mean deviations. Under overload every call starts as late as
+        allowed: with the mean alone as the estimate, each call that takes longer than
+        the mean would be wasted work, and goodput would fall as load rises. There is
+        one estimate for each priority, as one target may serve both bookings and
+        large files. The estimate is limited to between a quarter and half of the
+        call's total time.
         """
         total_ms = call.deadline_ms - call.arrived_ms
         estimate_ms = (
--- a/packages/pepperstair-core/pepperstair_core/calls/target_group.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_group.py
@@ -1,8 +1,8 @@
 """The targets of one service and statistics over all of them.
 
 A choice compares two targets. What it needs to know about all of them (which are in
-the own zone, the latency of the fastest one) changes rarely compared with the rate of
-calls and is therefore cached.
+this daemon's zone, the latency of the fastest one) changes rarely compared with the
+rate of calls and is therefore cached.
 """
 
 from __future__ import annotations
@@ -72,7 +72,7 @@
         return self._statistics
 
     def candidates(self, excluded_sets: Sequence[Collection[TargetKey]]) -> Candidates:
-        """Return the targets of the own and of other zones without the excluded ones.
+        """Return the targets of this and of other zones without the excluded ones.
 
         The sets are applied in order of importance; a set that would leave no target
         is skipped.
--- a/packages/pepperstair-core/pepperstair_core/config/settings.py
+++ b/packages/pepperstair-core/pepperstair_core/config/settings.py
@@ -218,7 +218,8 @@
     n_remembered_runs_max: Annotated[
         int,
         Option(
-            "Non-idempotent calls whose answer is kept for repeated requests.",
+            "Non-idempotent calls whose answer is kept, so that the caller's daemon "
+            "can look it up after it has lost the stream.",
             minimum=1,
         ),
     ] = 20_000
--- a/packages/pepperstair-core/pepperstair_core/distribution/events.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/events.py
@@ -86,7 +86,7 @@
 
 
 class Paused(Struct, frozen=True):
-    """The process was suspended for longer than its leases last."""
+    """The process was paused for longer than its leases last."""
 
 
 DistributionEvent = (
--- a/packages/pepperstair-core/pepperstair_core/distribution/outbox.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/outbox.py
@@ -22,7 +22,7 @@
     def put(self, vm: str, customer: str, frame: ControlFrame) -> None:
         """Add a frame to a customer's queue for a neighbour.
 
-        Deltas for a neighbour that reads slowly or is frozen would accumulate until
+        Deltas for a neighbour that reads slowly or is paused would accumulate until
         this daemon runs out of memory. Beyond `BACKLOG_MAX_BYTES` a single `Have`
         replaces them, and the neighbour pulls the version once it can.
         """
--- a/packages/pepperstair-core/pepperstair_core/distribution/pulling.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/pulling.py
@@ -1,7 +1,7 @@
 """Pulling of versions that were announced but not received.
 
-A pull asks the neighbours that hold the version one after the other, and falls back
-to the object store if none of them delivers it.
+A pull requests the version from the neighbours that hold it, one after the other, and
+falls back to the object store if none of them delivers it.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
     pull = customer.pull
     if pull is None:
         pull = customer.pull = PullState(version, now_ms + grace_ms)
-    elif not pull.asked_vms:
+    elif not pull.requested_vms:
         pull.due_ms = min(pull.due_ms, now_ms + grace_ms)
     pull.version = max(pull.version, version)
     pull.needs_full = pull.needs_full or needs_full
@@ -53,11 +53,11 @@
 
 
 def pull_if_due(state: DistributionState, now_ms: int) -> Actions:
-    """Ask the next source for each version whose pull is due."""
+    """Request each version whose pull is due from the next source."""
     for customer in state.customers.values():
         pull = customer.pull
         if pull is not None and now_ms >= pull.due_ms:
-            yield from _ask_next(state, customer, pull, now_ms)
+            yield from _request_from_next_source(state, customer, pull, now_ms)
 
 
 def on_snapshot_part(
@@ -119,7 +119,7 @@
     if pull.n_rounds < _N_BUSY_ROUNDS_MAX:
         # Busy neighbours can deliver later: an immediate fallback would send all
         # waiting daemons to the object store.
-        pull.asked_vms.clear()
+        pull.requested_vms.clear()
         pull.n_rounds += 1
 
 
@@ -130,18 +130,18 @@
         pull.due_ms = now_ms + _backoff_ms(state, pull)
 
 
-def _ask_next(
+def _request_from_next_source(
     state: DistributionState, customer: CustomerState, pull: PullState, now_ms: int
 ) -> Actions:
     source = _next_source(state, customer, pull)
     if source is not None:
-        pull.asked_vms.add(source)
+        pull.requested_vms.add(source)
         pull.due_ms = now_ms + state.timing.pull_timeout_ms
         customer.pruned.discard(source)
         held_version = 0 if pull.needs_full else customer.held_version
         yield Send(source, Pull(customer.customer, held_version))
         return
-    pull.asked_vms.clear()
+    pull.requested_vms.clear()
     pull.n_rounds += 1
     pull.due_ms = now_ms + state.timing.pull_timeout_ms + _backoff_ms(state, pull)
     if pull.head is not None:
@@ -160,7 +160,7 @@
     """
     versions = {
         vm: customer.holders.get(vm, 0)
-        for vm in sorted(state.fleet.neighbours - pull.asked_vms)
+        for vm in sorted(state.fleet.neighbours - pull.requested_vms)
     }
     candidates = [vm for vm, version in versions.items() if version >= pull.version]
     if not candidates:
--- a/packages/pepperstair-core/pepperstair_core/distribution/state.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/state.py
@@ -58,7 +58,7 @@
     head: Head | None = None
     needs_full: bool = False
     n_rounds: int = 0
-    asked_vms: set[str] = field(default_factory=set)
+    requested_vms: set[str] = field(default_factory=set)
     parts: dict[int, bytes] = field(default_factory=dict)
     parts_head: Head | None = None
 
--- a/packages/pepperstair-core/pepperstair_core/membership/membership.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/membership.py
@@ -139,7 +139,7 @@
         self._edges.mark_reached(address)
 
     def receive(self, vm: str, frame: Any, now_ms: int) -> Iterator[Action]:
-        """Handle a frame; one for another component only shows that the VM is alive."""
+        """Handle a frame; one of any other kind only proves that the VM is alive."""
         self._last_received.mark_received(vm, now_ms)
         if isinstance(frame, MemberUpdate):
             yield from self._merge_records(frame.members, vm, now_ms)
@@ -278,7 +278,7 @@
         return member is not None and member.availability_zone != own_zone
 
     def _evict_gone(self, now_ms: int) -> None:
-        """Remove members that are gone for the retention time.
+        """Remove members that have been gone for the retention time.
 
         Otherwise the directory would grow without bound.
         """
--- a/packages/pepperstair-core/pepperstair_core/membership/pause.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/pause.py
@@ -6,7 +6,7 @@
 class PauseDetector:
     """Detects pauses from the time between two checks of the event loop.
 
-    A VM that is frozen and resumed continues as if nothing had happened. It would
+    A VM that is paused and resumed continues as if nothing had happened. It would
     run calls that its kernel buffered, long after other daemons have declared it
     gone. Callers therefore check for a pause before they read buffered data.
 
--- a/packages/pepperstair-core/pepperstair_core/wire/control.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/control.py
@@ -94,7 +94,7 @@
 
 
 class Prune(Frame, tag=14):
-    """Asks the receiver to announce a customer's versions instead of pushing them."""
+    """Requests that a customer's versions be announced instead of pushed."""
 
     customer: str
 
@@ -135,7 +135,7 @@
 
 
 class Inquire(Frame, tag=18):
-    """Asks the fleet to acknowledge a version to the collecting daemon.
+    """Requests that the fleet acknowledge a version to the collecting daemon.
 
     Every daemon forwards it once. Acknowledgements return along the path on which it
     was received.
@@ -147,7 +147,7 @@
     version: int
 
 
-class PollerSign(Frame, tag=19):
+class PollerBeacon(Frame, tag=19):
     """Beacon by which a poller shows its zone that it is alive.
 
     `is_platform_reachable` is whether the platform answered its last poll. `number`
@@ -259,7 +259,7 @@
     | Busy
     | Acknowledge
     | Inquire
-    | PollerSign
+    | PollerBeacon
     | MemberUpdate
     | MembersDigest
     | MemberRanks
@@ -292,7 +292,7 @@
     "MemberUpdate",
     "MemberRanks",
     "MembersDigest",
-    "PollerSign",
+    "PollerBeacon",
     "MembersPull",
     "Prune",
     "Pull",
--- a/packages/pepperstair-core/pepperstair_core/wire/data.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/data.py
@@ -25,7 +25,7 @@
     `time_left_ms` is relative, as the clocks of two VMs differ. If `has_body` is set,
     `BodyPart` frames and a `BodyEnd` follow. `wanted_left_ms` is the remaining time
     within which the response has its full value for the caller, negative if the route
-    defines none. `fingerprint` is equal for requests that ask for the same work.
+    defines none. `fingerprint` is equal for requests for the same work.
     """
 
     call_id: int
--- a/packages/pepperstair-http/pepperstair_http/body.py
+++ b/packages/pepperstair-http/pepperstair_http/body.py
@@ -88,14 +88,14 @@
         self._wake()
 
     def fail(self, error: Exception) -> None:
-        """Mark an incomplete body as cut off; `read` then raises the error."""
+        """Mark an incomplete body as truncated; `read` then raises the error."""
         if self._is_complete or self._error is not None:
             return
         self._error = error
         self._wake()
 
     async def read(self) -> bytes:
-        """Return the next part, b"" at the end, or raise if the body was cut off."""
+        """Return the next part, b"" at the end, or raise if the body is truncated."""
         while not self._parts:
             if self._error is not None:
                 raise self._error
@@ -132,8 +132,8 @@
     async def prefetch(self, max_bytes: int) -> None:
         """Wait until the body is complete or `max_bytes` of it are buffered.
 
-        Raise if the body is cut off. Nothing is consumed, so that the reader still
-        gets the whole body.
+        Raise if the body is truncated. Nothing is consumed, so that the reader still
+        gets the complete body.
         """
         while not self._is_complete and self.n_bytes < max_bytes:
             if self._error is not None:
--- a/packages/pepperstair-http/pepperstair_http/server.py
+++ b/packages/pepperstair-http/pepperstair_http/server.py
@@ -83,7 +83,7 @@
         self._schedule_sweep()
         return self._server.sockets[0].getsockname()[1]
 
-    def ask_clients_to_close(self) -> None:
+    def request_connection_close(self) -> None:
         """Continue to serve, but send `connection: close` with answers.
 
         Clients are notified by other means that this daemon is stopping, which takes a
--- a/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/incoming.py
@@ -42,7 +42,7 @@
 
     `stream` is the stream to which the answer is relayed as it arrives, and None
     once that stream is lost. `query_stream` is a later stream on which the caller
-    queried the call; it receives the whole answer when the call has finished.
+    queried the call; it receives the complete answer when the call has finished.
     """
 
     __slots__ = (
@@ -115,10 +115,10 @@
         load = self._load_of(self.head.target)
         head = AnswerHead(self.head.call_id, response.status, response.headers, *load)
         part = response.body.read_nowait()
-        may_send_whole = response.body.is_exhausted and self.pacer.may_send_whole(
-            len(part)
+        may_send_in_one_write = (
+            response.body.is_exhausted and self.pacer.may_send_in_one_write(len(part))
         )
-        if may_send_whole and self.credit.try_acquire(len(part)):
+        if may_send_in_one_write and self.credit.try_acquire(len(part)):
             parts = [BodyPart(self.head.call_id, data) for data in iter_parts(part)]
             self.send(head, *parts, BodyEnd(self.head.call_id))
             return self._keep(response, [part]) if self.is_recorded else None
--- a/packages/pepperstair-peers/pepperstair_peers/data/link.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/link.py
@@ -160,7 +160,7 @@
     def _fail_urgent_calls(self) -> None:
         """Fail idempotent calls with too little time left for recovery.
 
-        The daemon may be frozen or partitioned. Recovery takes several heartbeats,
+        The daemon may be paused or partitioned. Recovery takes several heartbeats,
         in which a retry at another target could have been answered.
         """
         limit_ms = _N_URGENT_HEARTBEATS * self._heartbeat_ms
--- a/packages/pepperstair-peers/pepperstair_peers/data/outgoing.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/outgoing.py
@@ -137,7 +137,7 @@
             self.body.fail(error)
             return
         self.answer.set_exception(error)
-        # The caller may already have left. Retrieving the exception keeps the
+        # The caller may have disconnected already. Retrieving the exception keeps the
         # event loop from logging it as never retrieved.
         self.answer.exception()
 
--- a/packages/pepperstair-peers/pepperstair_peers/data/server.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/server.py
@@ -83,8 +83,8 @@
     """Runs the calls received on all incoming data streams.
 
     `loads` returns the numbers of requests in flight and queued at each local
-    target; heartbeats carry them. `was_paused` returns whether a pause of this
-    process has just ended. `pacer` limits the rate of large answers on the link.
+    target; they are sent with the heartbeats. `was_paused` returns whether a pause of
+    this process has just ended. `pacer` limits the rate of large answers on the link.
     """
 
     def __init__(
@@ -131,8 +131,8 @@
     def reset_streams(self) -> None:
         """Close every stream without reading it, after a pause of this process.
 
-        Calls that the kernel buffered meanwhile have long been given up by their
-        callers. Running them now could repeat a non-idempotent request, such as a
+        The callers have long abandoned the calls that the kernel buffered meanwhile.
+        Running them now could repeat a non-idempotent request, such as a
         booking, whose caller received `outcome_unknown` and has sent it elsewhere.
         """
         for sender in list(self._streams):
@@ -256,12 +256,12 @@
 
     def _send_recorded_outcome(self, incoming: _IncomingStream, key: CallKey) -> None:
         """Send the recorded outcome of a call that is not running."""
-        recall = self._memory.look_up(key, incoming.sequence, self._clock_ms())
-        if recall.answer is not None:
-            send_kept_answer(incoming.stream, key.call_id, recall.answer)
+        result = self._memory.look_up(key, incoming.sequence, self._clock_ms())
+        if result.answer is not None:
+            send_kept_answer(incoming.stream, key.call_id, result.answer)
         else:
             incoming.stream.send(
-                call_failed_frame(key.call_id, _FAILURES_BY_STATE[recall.state])
+                call_failed_frame(key.call_id, _FAILURES_BY_STATE[result.state])
             )
 
     def _schedule(self) -> None:
--- a/packages/pepperstair-targets/pepperstair_targets/announcements.py
+++ b/packages/pepperstair-targets/pepperstair_targets/announcements.py
@@ -77,7 +77,7 @@
     if read.is_err():
         return read
     if parse_address(read.unwrap().address) is None:
-        return Err([Fault("address", "an IP number and port")])
+        return Err([Fault("address", "an IP address and port")])
     return read
 
 
--- a/packages/pepperstair-targets/pepperstair_targets/answer_body.py
+++ b/packages/pepperstair-targets/pepperstair_targets/answer_body.py
@@ -39,7 +39,7 @@
 
     @property
     def is_exhausted(self) -> bool:
-        """Return whether the body has arrived whole and has been read to its end."""
+        """Return whether the body has arrived completely and been read to its end."""
         return self._source.is_exhausted
 
     def read_nowait(self) -> bytes:
--- a/packages/pepperstair-targets/pepperstair_targets/runner.py
+++ b/packages/pepperstair-targets/pepperstair_targets/runner.py
@@ -255,8 +255,8 @@
     def _require_target(self, head: CallHead, now_ms: float) -> Target:
         """Return the target of a call, or refuse the call as not run.
 
-        This daemon refuses on behalf of a draining target, so that a daemon that does
-        not know of the draining yet is notified without any work being lost. The lease
+        Calls for a draining target are refused here: a daemon that has not received the
+        draining state yet is notified by the refusal, and no work is lost. The lease
         is checked for each call, as this process may have been paused while the lease
         lapsed and its timers may not have run yet.
         """
--- a/packages/pepperstair-targets/pepperstair_targets/target_call.py
+++ b/packages/pepperstair-targets/pepperstair_targets/target_call.py
@@ -39,7 +39,7 @@
 class TargetOptions(Struct, frozen=True):
     """The options of all calls on the targets of this VM.
 
-    Answers of up to `n_buffered_max_bytes` are buffered whole before any part is
+    Answers of up to `n_buffered_max_bytes` are buffered completely before any part is
     relayed, so that a call with a truncated answer can still be retried on another
     target.
     """
@@ -54,7 +54,7 @@
 class TargetCall:
     """A call that holds a slot until `end`, which may be called repeatedly.
 
-    `on_end` frees the slot. It is called with whether the request was sent.
+    `on_end` frees the slot; its argument is whether the request was sent.
     """
 
     __slots__ = (
@@ -119,7 +119,7 @@
             self._abort()
             raise self._timeout_error() from error
         except PepperstairError as error:
-            # A refusal is a whole answer, so its connection is reused. If it were
+            # A refusal is a complete answer, so its connection is reused. If it were
             # closed, a target that refuses every second call would cost a new
             # connection for each refusal: in one fleet, these were 1,500 of the 2,000
             # connections opened in fifty seconds.
@@ -199,7 +199,7 @@
             raise PepperstairError(Failure(ErrorKind.TARGET_FAILED, detail))
 
     async def _buffer_answer(self, answer: ResponseHead) -> None:
-        """Buffer an answer of up to `n_buffered_max_bytes` whole."""
+        """Buffer a complete answer of up to `n_buffered_max_bytes`."""
         try:
             await self._connection.body.prefetch(self._n_buffered_max_bytes)
         except ConnectionLostError as error:
@@ -212,10 +212,10 @@
     def _may_resend(self) -> bool:
         """Return whether a reused connection broke before its request was run.
 
-        A target that loses its answers breaks connections too. If the request were sent
-        again here, it would run twice, and neither the route's attempts nor the retry
-        budget would count it: a service whose answers get lost would be given more work
-        than the budget allows.
+        A connection also breaks if a target fails after it has run the request. If the
+        request were sent again here, it would run twice, and neither the route's
+        attempts nor the retry budget would count it: a service whose answers get lost
+        would be given more work than the budget allows.
         """
         if not self._is_sent:
             return True
@@ -227,7 +227,7 @@
         self, connection: ClientConnection, headers: Headers
     ) -> ResponseHead:
         self._connection = connection
-        body = _whole_body(self._head, self._body)
+        body = _complete_body(self._head, self._body)
         echo = None
         if self._names.is_id_echoed:
             echo = (self._names.request_id, self._head.request_id.encode("latin-1"))
@@ -277,8 +277,8 @@
         self.end()
 
 
-def _whole_body(head: CallHead, body: BodyBuffer) -> bytes | None:
-    """Return the body if it has arrived whole, so that one write is enough."""
+def _complete_body(head: CallHead, body: BodyBuffer) -> bytes | None:
+    """Return the body if it has arrived completely, to send it in one write."""
     if not head.has_body:
         return b""
     if not body.is_complete:
--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -3,7 +3,7 @@
 An acknowledgement has to outlive the process: a daemon that restarts right after
 it has lost its state, and earlier announcements of the target may still arrive.
 If it accepted them, it would route requests to a target that is about to exit, and
-these would be cut off seconds after the target announced its departure.
+these would be aborted seconds after the target announced its departure.
 """
 
 from __future__ import annotations
--- a/packages/pepperstaird/pepperstaird/dependencies.py
+++ b/packages/pepperstaird/pepperstaird/dependencies.py
@@ -76,10 +76,10 @@
     """This daemon's row in the platform's table of daemons."""
 
     def start(self) -> None:
-        """Start to write the own row and to read the others."""
+        """Start to write this daemon's row and to read the others."""
 
     async def remove_own(self) -> None:
-        """Delete the own row, as this daemon leaves."""
+        """Delete this daemon's row, as the daemon leaves the fleet."""
 
 
 class AdditionalServer(Struct, frozen=True):
--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -29,8 +29,8 @@
 
 # Time after which a pull that was not answered is sent to another neighbour.
 _PULL_RETRY_S: Final = 0.75
-# How long a pull is delayed while the own watch may deliver the version that a
-# neighbour already has: immediate pulls would transfer each version to every daemon
+# How long a pull is delayed while this daemon's own watch may deliver the version that
+# a neighbour already has: immediate pulls would transfer each version to every daemon
 # once more.
 _PULL_DELAY_S: Final = 0.25
 # Number of versions whose documents are kept as bases of deltas.
@@ -44,7 +44,7 @@
     """Announces, pulls and sends versions of the document among neighbours.
 
     `offer` processes a document that a neighbour sent, together with the neighbour's
-    VM, and `is_watching` returns whether the own watch delivers new versions.
+    VM, and `is_watching` returns whether this daemon's own watch delivers new versions.
     `position` is the newest known position in the history of the table. With a
     `schedule`, confirmations that a version was the newest are forwarded too. While
     `is_newest_known` is false, this daemon can't read the newest version and confirms
@@ -134,7 +134,7 @@
         """Record that the version in force was the newest, and notify neighbours.
 
         `as_of_ms` is the moment of the confirmation on the clock of `boot_ms`, and
-        `learnt_from` the neighbour that sent it, empty for an own read.
+        `learnt_from` the neighbour that sent it, empty if this daemon read the table.
         """
         self._advance_position(position)
         if learnt_from:
@@ -265,8 +265,8 @@
             self._rejected_version = self._newest_version
         if result is not OfferResult.IN_FORCE:
             return
-        # The neighbour has seen no newer version up to its position; a watch from an
-        # earlier position would make the table send this version once more.
+        # This is the newest version up to the neighbour's position in the table's
+        # history; a watch from an earlier position would return this version again.
         self._advance_position(frame.position)
         if frame.age_ms >= 0:
             self.confirm(frame.position, boot_ms() - frame.age_ms, vm)
--- a/packages/pepperstaird/pepperstaird/follower.py
+++ b/packages/pepperstaird/pepperstaird/follower.py
@@ -54,7 +54,7 @@
 _PAUSE_MIN_S: Final = 0.4
 # On a slow link the pause is twice the transfer time of the answer, so that versions
 # in quick succession leave two thirds of the link to calls. Meanwhile neighbours send
-# them in compressed form. The pause is bounded, as a neighbour may be cut off.
+# them in compressed form. The pause is bounded, as a neighbour may be partitioned.
 _PAUSE_TRANSFER_FACTOR: Final = 2.0
 _PAUSE_MAX_S: Final = 1.5
 # If the transfer of the document takes longer than this on the VM's link, the daemon
@@ -172,7 +172,7 @@
         return self._snapshot
 
     def age_ms(self) -> int:
-        """Return how long ago the version in force was the newest, -1 if unknown."""
+        """Return how long ago this version was known to be newest, -1 if unknown."""
         return self._exchange.age_ms()
 
     def counters(self) -> dict[str, int]:
@@ -236,7 +236,7 @@
             await asyncio.sleep(remaining_ms / 1000)
 
     def _is_watching(self) -> bool:
-        """Return whether the own watch is expected to deliver new versions."""
+        """Return whether this daemon's watch is expected to deliver new versions."""
         if self.document is None or not self._watches_continuously():
             return False
         if self.schedule is None:
@@ -311,9 +311,9 @@
 
     def _apply_rows(self, rows: WatchedRows) -> None:
         # A removed row leaves the version in force: otherwise all routes of the
-        # operators would disappear at once, and callers would be answered that there
-        # is none. An answer may hold several versions, of which only the last valid
-        # one matters.
+        # operators would disappear at once, and callers would be answered with the
+        # error `no_route`. An answer may hold several versions, of which only the
+        # last valid one matters.
         row_values = [row.value for row in rows.rows if row.key == self._key]
         values = [value for value in reversed(row_values) if value is not None]
         for index, value in enumerate(values):
--- a/packages/pepperstaird/pepperstaird/member_rows.py
+++ b/packages/pepperstaird/pepperstaird/member_rows.py
@@ -30,18 +30,18 @@
 
 log = structlog.get_logger(__name__)
 
-# Interval at which the own row is written again, as a sign that the daemon is alive.
+# Interval at which the row of this daemon is rewritten, to show that it is alive.
 ROW_INTERVAL_S: Final = 300.0
 _PREFIX: Final = "member/"
 _FIRST_WRITE_DELAY_MAX_S: Final = 2.0
-# While the own row is not written, or no neighbour is known, the platform is queried
-# again with exponential backoff, so that an outage causes no storm of retries.
+# While this daemon's row is not written, or no neighbour is known, the platform is
+# queried again with exponential backoff, so that an outage causes no storm of retries.
 _RETRY_MIN_S: Final = 0.5
 _RETRY_MAX_S: Final = 8.0
 
 
 class MemberRows:
-    """Writes the own row, and reads the others for discovery and as the sweeper.
+    """Writes this daemon's row, and reads the others for discovery and as the sweeper.
 
     The sweeper deletes the rows of daemons that no longer write them. With
     `is_first_start` there is no row of an earlier process.
@@ -80,7 +80,7 @@
             self._task.cancel()
 
     async def remove_own(self) -> None:
-        """Delete the own row as this daemon leaves; if that fails, the sweeper will."""
+        """Delete this daemon's row on leaving; if that fails, the sweeper does it."""
         self.close()
         await self._platform.delete_row(_row_key(self._directory.own().vm))
 
--- a/packages/pepperstaird/pepperstaird/proxying.py
+++ b/packages/pepperstaird/pepperstaird/proxying.py
@@ -23,7 +23,7 @@
 def make_proxy_context(daemon: Daemon) -> ProxyContext:
     """Return the state and functions of a daemon that its proxy uses.
 
-    Calls to targets of the own VM go through the daemon's runner, calls to all other
+    Calls to targets of this VM go through the daemon's runner, calls to all other
     targets through data streams to the daemons of their VMs.
     """
     vm = daemon.settings.vm.name
--- a/packages/pepperstaird/pepperstaird/stopping.py
+++ b/packages/pepperstaird/pepperstaird/stopping.py
@@ -34,7 +34,7 @@
     stop_ms = calls.stop_notice_ms + calls.drain_timeout_ms
     daemon.stop_deadline_ms = precise_ms() + stop_ms
     daemon.publish_targets()
-    daemon.callers.ask_clients_to_close()
+    daemon.callers.request_connection_close()
     await asyncio.sleep(calls.stop_notice_ms / 1000)
     daemon.runner.drain()
     daemon.callers.drain()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -129,7 +129,7 @@
         for gate in self._gates:
             gate.set()
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
         """Abort every connection."""
         for writer in self._writers:
             writer.transport.abort()
@@ -137,7 +137,7 @@
     def close(self) -> None:
         """Stop listening and abort every connection."""
         self._server.close()
-        self.cut()
+        self.abort_connections()
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -19,7 +19,7 @@
     PAUSE = "pause"
     STOP = "stop"
     HANGUP = "hangup"
-    HERD_KILL = "herd_kill"
+    KILL_ALL = "herd_kill"
     CLOCK = "clock"
     # Of one link of a VM.
     PEER_LINK = "peer_link"
@@ -27,7 +27,7 @@
     INSTANCE_LINK = "instance_link"
     # Of the store: answers 503, answers nothing, breaks connections after it has
     # executed the calls, answers late, and drops its history of changes.
-    STORE_AWAY = "store_away"
+    STORE_UNAVAILABLE = "store_away"
     STORE_SILENT = "store_silent"
     STORE_LOSES_ANSWERS = "store_loses_answers"
     STORE_SLOW = "store_slow"
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -229,7 +229,7 @@
     def _affected_vms(self, fault: Fault) -> list[str]:
         if fault.kind.startswith("store_") and fault.kind is not FaultKind.STORE_LINK:
             return [""]
-        if fault.kind is FaultKind.HERD_KILL:
+        if fault.kind is FaultKind.KILL_ALL:
             return [machine.vm.name for machine in self.machines]
         if fault.kind in (FaultKind.CONFIGURATION, FaultKind.CONFIGURATION_STORM):
             return []
@@ -262,7 +262,7 @@
             )
         skew_s = _CLOCK_SKEW_MAX_S * (2 * fault.amount - 1)
         return {
-            FaultKind.HERD_KILL: (
+            FaultKind.KILL_ALL: (
                 lambda: [other.send_signal(signal.SIGKILL) for other in self.machines],
                 _do_nothing,
             ),
@@ -288,7 +288,7 @@
         if kind is FaultKind.STORE_FORGETS:
             return store.forget_history, _do_nothing
         name, bad, good = {
-            FaultKind.STORE_AWAY: ("status", 503, 200),
+            FaultKind.STORE_UNAVAILABLE: ("status", 503, 200),
             FaultKind.STORE_SILENT: ("is_silent", True, False),
             FaultKind.STORE_LOSES_ANSWERS: ("is_losing_answers", True, False),
             FaultKind.STORE_SLOW: ("delay_s", _STORE_DELAY_S, 0.0),
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -237,10 +237,10 @@
 
 
 def _repeat_until_accepted(
-    ask: Callable[[], Result[Accepted, Failure]] | Awaitable,
+    attempt: Callable[[], Result[Accepted, Failure]] | Awaitable,
 ) -> Accepted:
     for _ in range(5):
-        answer = ask()
+        answer = attempt()
         if answer.is_ok():
             return answer.unwrap()
     raise AssertionError("the outcome is still unknown after 5 attempts")
--- a/tests/test_call_decisions_against_naive.py
+++ b/tests/test_call_decisions_against_naive.py
@@ -163,7 +163,7 @@
 
 
 def test_retries_are_no_worse_than_three_blind_ones():
-    """All targets cut off a third of their answers while the load is near capacity.
+    """All targets truncate a third of their answers while the load is near capacity.
 
     Blind retries run bookings twice and add load that makes other calls miss their
     deadlines; the budget limits retries to a tenth of the calls.
--- a/tests/test_call_failures.py
+++ b/tests/test_call_failures.py
@@ -33,12 +33,12 @@
     await asyncio.Event().wait()
 
 
-async def cut_before_head(target, writer, head):
+async def abort_before_head(target, writer, head):
     """Abort the connection instead of answering."""
     writer.transport.abort()
 
 
-async def cut_body(target, writer, head):
+async def truncate_body(target, writer, head):
     """Send half of the stated content length and close the connection."""
     writer.write(http_answer(b"half", length=8))
     await writer.drain()
@@ -65,7 +65,7 @@
 
 
 @on_loop
-async def test_cut_answer_is_never_relayed_as_a_whole_one():
+async def test_truncated_answer_is_never_relayed_as_complete():
     """A target crashes in the middle of its answer.
 
     If the part were relayed as whole, half a music pack would be saved as the whole
@@ -73,7 +73,7 @@
     """
 
     async with Mesh(is_idempotent=True) as mesh:
-        await mesh.add("a", cut_body)
+        await mesh.add("a", truncate_body)
         with pytest.raises(ConnectionLostError):
             await mesh.call()
         await wait_until(lambda: mesh.outcomes)
@@ -93,7 +93,7 @@
 
     async with Mesh(is_idempotent=is_idempotent) as mesh:
         for name in ("a", "b"):
-            await mesh.add(name, cut_before_head)
+            await mesh.add(name, abort_before_head)
         response = await mesh.call(body=b"booking")
         n_runs = sum(len(raw.heads) for raw in mesh.raw.values())
         assert status_and_run(response) == (502, "unknown")
@@ -381,12 +381,12 @@
     the remaining part would be mistaken for the whole body.
     """
 
-    async def cut_early(target, writer, head):
+    async def abort_early(target, writer, head):
         writer.transport.abort()
 
     async with Mesh(is_idempotent=True) as mesh:
-        await mesh.add("a", cut_early)
-        await mesh.add("b", cut_early)
+        await mesh.add("a", abort_early)
+        await mesh.add("b", abort_early)
         assert status_and_run(await mesh.call(body=body)) == (502, "unknown")
         assert mesh.outcomes[0].n_retries == n_expected
 
@@ -484,7 +484,7 @@
     """Guards against failures whose logs show no reason for the missing retry."""
     async with Mesh(is_idempotent=is_idempotent, n_attempts_max=2) as mesh:
         for name in ("a", "b", "c")[: n_targets + (expected is GiveUpCause.ATTEMPTS)]:
-            await mesh.add(name, cut_before_head)
+            await mesh.add(name, abort_before_head)
         with capture_logs() as lines:
             await mesh.call()
         assert mesh.proxy.n_given_up[expected] == 1
--- a/tests/test_data_streams.py
+++ b/tests/test_data_streams.py
@@ -132,7 +132,7 @@
             path.target.answer_allowed.clear()
             running = path.call(call_head(1))
             await wait_for(lambda: path.server.runs == [1])
-            path.relay.cut()
+            path.relay.abort_connections()
             await wait_for(lambda: path.client.n_replaced_streams == 1)
             await asyncio.sleep(0.05)
             path.target.answer_allowed.set()
@@ -142,7 +142,7 @@
     asyncio.run(scenario())
 
 
-def test_interrupted_answer_continues_where_it_was_cut():
+def test_interrupted_answer_continues_after_the_received_part():
     """The stream is lost during an answer that is then resent from its start.
 
     Data that was already read must not be repeated, and the end must not be missing.
@@ -154,7 +154,7 @@
             path.target.response = StreamedResponse(200, (), body, lambda: None)
             answer = await asyncio.wait_for(_start_answer(path, body), 5)
             assert await answer.body.read() == b"first "
-            path.relay.cut()
+            path.relay.abort_connections()
             body.feed(b"second")
             body.finish()
             async with asyncio.timeout(5):
@@ -382,7 +382,7 @@
                 path.client.run(path.relay.address, head, body)
             )
             await wait_for(lambda: path.server.runs == [1])
-            path.relay.cut()
+            path.relay.abort_connections()
             assert (await failure_of(running)).kind is ErrorKind.TARGET_FAILED
             assert len(seen) == 1
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -442,8 +442,8 @@
     control = FakeControl("vm-2", "vm-3")
     frames = [("vm-2", DocumentHave(5)), ("vm-3", DocumentHave(5))]
     run_follower(FakeTable(), control, frames, **shared_options())
-    asked_vms = [vm for vm, frame in control.sent if frame == DocumentPull(0)]
-    assert asked_vms[:3] == ["vm-2", "vm-3", "vm-2"]
+    requested_vms = [vm for vm, frame in control.sent if frame == DocumentPull(0)]
+    assert requested_vms[:3] == ["vm-2", "vm-3", "vm-2"]
 
 
 def test_pull_moves_on_at_once_when_its_neighbour_is_lost():
@@ -453,8 +453,8 @@
     run_follower(
         FakeTable(), control, frames, lost=("vm-3", "vm-2"), **shared_options()
     )
-    asked_vms = [vm for vm, frame in control.sent if frame == DocumentPull(0)]
-    assert asked_vms == ["vm-2", "vm-4"]
+    requested_vms = [vm for vm, frame in control.sent if frame == DocumentPull(0)]
+    assert requested_vms == ["vm-2", "vm-4"]
 
 
 def test_rejected_document_is_not_pulled_again(monkeypatch):
--- a/tests/test_http_limits.py
+++ b/tests/test_http_limits.py
@@ -59,7 +59,7 @@
         server = HttpServer(echo, ServerLimits())
         port = await server.listen("127.0.0.1", 0)
         _, idle_writer = await asyncio.open_connection("127.0.0.1", port)
-        server.ask_clients_to_close()
+        server.request_connection_close()
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET /late HTTP/1.1\r\nhost: x\r\n\r\n")
         answer = await reader.read()
--- a/tests/test_last_hop.py
+++ b/tests/test_last_hop.py
@@ -140,7 +140,7 @@
     ids=["unsigned", "without an id", "encoded", "cut"],
 )
 def test_invalid_success_of_an_idempotent_request_is_retried_elsewhere(bad):
-    """A target sends an invalid or cut answer to an idempotent request."""
+    """A target sends an invalid or truncated answer to an idempotent request."""
 
     async def send_invalid_answer(target, writer, head):
         writer.write(bad)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -92,7 +92,7 @@
 
 
 def test_silent_neighbour_is_suspected_then_gone():
-    """A VM freezes: its connections stay open but no more frames arrive."""
+    """A VM is paused: its connections stay open but no more frames arrive."""
     membership = membership_of(member("a"), member("b"))
     list(membership.flush(lambda vm: True, 0))
     list(membership.open("b", "b:1", True, 0))
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -67,8 +67,10 @@
 def test_fast_link_is_not_paced():
     pacer = LinkPacer(1000.0, PART_MAX_BYTES)
     assert pacer.part_bytes == PART_MAX_BYTES
-    assert pacer.may_send_whole(4 * PART_MAX_BYTES)
-    assert not LinkPacer(LINK_MBPS, PART_MAX_BYTES).may_send_whole(DOWNLOAD_BYTES)
+    assert pacer.may_send_in_one_write(4 * PART_MAX_BYTES)
+    assert not LinkPacer(LINK_MBPS, PART_MAX_BYTES).may_send_in_one_write(
+        DOWNLOAD_BYTES
+    )
     assert [pacer.delay_ms(PART_MAX_BYTES, 0.0) for _ in range(3)] == [0, 0, 0]
 
 
--- a/tests/test_process_configuration.py
+++ b/tests/test_process_configuration.py
@@ -16,7 +16,7 @@
 )
 
 
-def ask(daemon: DaemonProcess, path: str) -> tuple[int, Any]:
+def query(daemon: DaemonProcess, path: str) -> tuple[int, Any]:
     """Send a GET request to a daemon's operators' interface."""
     status, body = fetch(daemon.operators, "GET", path)
     return status, json.loads(body)
@@ -30,17 +30,21 @@
     """
     daemons = start_daemons(fleet, 4)
     put_in_force(fleet, award_document("ledger"), daemons[0])
-    status, content = ask(daemons[1], f"/v1/wait/{CUSTOMER}?version=1&timeout_ms=9000")
+    status, content = query(
+        daemons[1], f"/v1/wait/{CUSTOMER}?version=1&timeout_ms=9000"
+    )
     assert status == 200 and content["is_converged"] and not content["missing"]
     assert content["in_force"] == [daemon.vm for daemon in daemons]
     daemons[3].pause()
     assert apply_intent(daemons[1], CUSTOMER, award_document("vault")).version == 2
     wait = f"/v1/wait/{CUSTOMER}?version=2&timeout_ms=200"
-    assert ask(daemons[1], wait)[1]["missing"] == [daemons[3].vm]
+    assert query(daemons[1], wait)[1]["missing"] == [daemons[3].vm]
     daemons[3].resume()
-    wait_until(lambda: ask(daemons[1], wait)[1]["is_converged"], "version 2 everywhere")
-    assert ask(daemons[1], f"/v1/wait/{CUSTOMER}?version=x")[0] == 400
-    assert ask(daemons[1], "/v1/wait/nobody")[0] == 404
+    wait_until(
+        lambda: query(daemons[1], wait)[1]["is_converged"], "version 2 everywhere"
+    )
+    assert query(daemons[1], f"/v1/wait/{CUSTOMER}?version=x")[0] == 400
+    assert query(daemons[1], "/v1/wait/nobody")[0] == 404
 
 
 def test_history_and_explain_report_the_origin_of_a_version(fleet):
@@ -54,15 +58,15 @@
     wait_in_force(daemons, 1)
     again = apply_intent(daemons[0], CUSTOMER, document, applied.change_id)
     assert again.version == applied.version == 1
-    assert ask(daemons[0], f"/v1/wait/{CUSTOMER}?timeout_ms=9000")[1]["is_converged"]
-    (change,) = ask(daemons[0], f"/v1/history/{CUSTOMER}")[1]["changes"]
+    assert query(daemons[0], f"/v1/wait/{CUSTOMER}?timeout_ms=9000")[1]["is_converged"]
+    (change,) = query(daemons[0], f"/v1/history/{CUSTOMER}")[1]["changes"]
     assert change["change_id"] == applied.change_id
     assert change["convergence_ms"] is not None
     for daemon, is_carried in ((daemons[1], True), (daemons[2], False)):
         path = f"/v1/explain?customer={CUSTOMER}&route=edge"
-        content = ask(daemon, path)[1]["configuration"]
+        content = query(daemon, path)[1]["configuration"]
         assert content["accepted_by"] == daemons[0].vm
         assert content["learnt_from"] in {other.vm for other in daemons} - {daemon.vm}
         assert content["in_force_at_ms"] >= content["accepted_at_ms"]
         assert content["route"]["is_carried"] is is_carried
-    assert ask(daemons[1], "/v1/explain?customer=nobody")[0] == 404
+    assert query(daemons[1], "/v1/explain?customer=nobody")[0] == 404
--- a/tests/test_run_memory.py
+++ b/tests/test_run_memory.py
@@ -41,7 +41,7 @@
 
 
 def test_call_reported_as_never_run_does_not_run_from_an_earlier_stream():
-    """The head arrives after its caller was told that the call had not run."""
+    """The head arrives after the call was reported to its caller as not run."""
     memory = RunMemory(10)
     assert memory.look_up(key(1), 2, 0).state is RunState.NEVER_RUN
     assert memory.begin(key(1), 1, 1000, 1) is RunAdmission.REPEATED
--- a/tests/test_shared_reading.py
+++ b/tests/test_shared_reading.py
@@ -243,7 +243,7 @@
 
 
 def test_combined_faults_do_not_delay_versions_where_the_store_answers():
-    """Guards against simultaneous faults: kills, cuts, freezes and refusals."""
+    """Guards against simultaneous faults: kills, lost answers, pauses and refusals."""
     for seed in range(12):
         fleet = Fleet(16, seed)
         fleet.run(2000)
--- a/tests/test_target_crashes.py
+++ b/tests/test_target_crashes.py
@@ -119,7 +119,7 @@
 
 @with_mesh()
 async def test_broken_call_next_to_running_calls_opens_no_connection(mesh):
-    """Guards against opening a connection for each answer that a target cuts off."""
+    """Guards against opening a connection for each answer that a target truncates."""
     raw = await add(mesh, "a", answer_by_path(slow=slow, cut=abort_connection))
     running = [asyncio.ensure_future(mesh.call(path="/slow")) for _ in range(2)]
     await wait_until(lambda: len(raw.heads) == 2)
