--- a/packages/pepperstair-core/pepperstair_core/burn/counts.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/counts.py
@@ -60,7 +60,7 @@
     """Return the outcome class of a call, or None if it does not count.
 
     A call is late if its timeout ended it. Any other call has failed if the target's
-    whole answer was not forwarded, or if its status is 500 or above.
+    complete answer was not forwarded, or if its status is 500 or above.
     """
     if outcome.error in _UNCOUNTED_KINDS:
         return None
--- a/packages/pepperstair-core/pepperstair_core/calls/outcome.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/outcome.py
@@ -10,8 +10,8 @@
 class CallOutcome(Struct, frozen=True):
     """One caller's request from its head to the end of its answer.
 
-    `error` is None if the target's whole answer was forwarded; `n_retries` counts the
-    attempts after the first.
+    `error` is None if the target's complete answer was forwarded; `n_retries` counts
+    the attempts after the first.
     """
 
     customer: str
--- a/packages/pepperstair-core/pepperstair_core/distribution/spreading.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/spreading.py
@@ -1,9 +1,9 @@
 """Epidemic broadcast of new versions: deltas along a tree, announcements elsewhere.
 
 Each customer has its own tree, which initially contains every stream. A daemon that
-receives a version twice asks the second sender to announce only, which prunes the
-stream from the tree. A pull grafts it back (Plumtree, Leitão, Pereira and Rodrigues
-2007).
+receives a version twice requests that the second sender only announce versions, which
+prunes the stream from the tree. A pull grafts it back (Plumtree, Leitão, Pereira and
+Rodrigues 2007).
 """
 
 from __future__ import annotations
--- a/packages/pepperstair-peers/pepperstair_peers/data/outgoing.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/outgoing.py
@@ -125,7 +125,7 @@
         self._n_bytes_to_skip = self._n_received_bytes
 
     def stop_sending(self) -> None:
-        """Stop sending the request body, as the stream or the caller is gone."""
+        """Stop sending the request body, as stream or caller has disconnected."""
         if self._body_task is not None:
             self._body_task.cancel()
 
--- a/packages/pepperstair-platform/pepperstair_platform/coalescing.py
+++ b/packages/pepperstair-platform/pepperstair_platform/coalescing.py
@@ -13,7 +13,7 @@
 
 
 class CoalescedRows:
-    """A table that is always read whole, with concurrent reads sharing one request.
+    """A table that is always read completely; concurrent reads share one request.
 
     A read that starts while another one is in progress shares its result, as several
     parts of a starting daemon need rows of the same small table.
--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -67,8 +67,9 @@
     async def wait_restored(self) -> None:
         """Wait until the row was read, for up to `WAIT_MAX_S`.
 
-        During an outage of the platform the row is unavailable. Serving its target
-        without the row is worth more than a rare delayed announcement costs.
+        During an outage of the platform the row is unavailable. The daemon then serves
+        its target without it: a delayed announcement is rare and does less harm than a
+        daemon that waits for the platform.
         """
         if not self._start_restore().done():
             await asyncio.wait([self._start_restore()], timeout=WAIT_MAX_S)
--- a/tests/adapter/test_documents.py
+++ b/tests/adapter/test_documents.py
@@ -1,4 +1,4 @@
-"""Tests of reading the operators' document, which is rejected whole if faulty."""
+"""Tests of reading the operators' document, which is rejected as a whole if faulty."""
 
 from __future__ import annotations
 
--- a/tests/adapter/test_settings.py
+++ b/tests/adapter/test_settings.py
@@ -63,7 +63,7 @@
     settings = parse_all_settings(render_settings(f"grace_s = {grace_s}\n")).unwrap()
     calls = settings.product.calls
     stop_ms = calls.stop_notice_ms + calls.drain_timeout_ms
-    # Calls that run into the last sixth of the grace period may be cut off.
+    # Calls that run into the last sixth of the grace period may be aborted.
     assert grace_s * 1000 * 5 / 6 <= stop_ms <= grace_s * 1000 - 500
 
 
--- a/tests/distribution/fake_network.py
+++ b/tests/distribution/fake_network.py
@@ -45,7 +45,7 @@
 class FakeNetwork:
     """Delivers frames in a seeded order.
 
-    Frames can be dropped or duplicated, streams cut and daemons paused.
+    Frames can be dropped or duplicated, streams closed and daemons paused.
     """
 
     def __init__(self, seed: int = 1, timing: d.Timing | None = None) -> None:
@@ -61,7 +61,7 @@
         self.n_reads = 0
         self.drop_probability = 0.0
         self.duplicate_probability = 0.0
-        self.cut: Callable[[str, str], bool] = lambda a, b: False
+        self.is_partitioned: Callable[[str, str], bool] = lambda a, b: False
         self.paused_vms: set[str] = set()
         self.sent: dict[str, int] = {}
         self._queue: list[tuple[int, int, str, int, str, Any]] = []
@@ -85,9 +85,9 @@
                 self.handle(other, d.NeighbourDown(vm))
         self._notify_member_changes()
 
-    def set_cut(self, cut: Callable[[str, str], bool]) -> None:
-        """Cut the streams between pairs of daemons and reconnect all others."""
-        self.cut = cut
+    def set_partition(self, is_partitioned: Callable[[str, str], bool]) -> None:
+        """Close the streams of partitioned pairs of daemons; reconnect all others."""
+        self.is_partitioned = is_partitioned
         self._connect()
 
     def accept(self, vm: str, intent: Intent) -> Snapshot:
@@ -221,10 +221,12 @@
         self.now_ms = until_ms - TICK_MS
 
     def _connect(self) -> None:
-        """Connect every pair that isn't cut, and disconnect the others."""
+        """Connect every pair that isn't partitioned, and disconnect the others."""
         self._notify_member_changes()
         for vm, node in self.nodes.items():
-            wanted = {o for o in self.nodes if o != vm and not self.cut(vm, o)}
+            wanted = {
+                o for o in self.nodes if o != vm and not self.is_partitioned(vm, o)
+            }
             for other in sorted(node.neighbours - wanted):
                 node.neighbours.discard(other)
                 self.handle(vm, d.NeighbourDown(other))
@@ -242,7 +244,7 @@
 
     def _members(self, viewer: str) -> Iterable[Member]:
         for vm, zone in self.zones.items():
-            is_seen = vm in self.nodes and not self.cut(viewer, vm)
+            is_seen = vm in self.nodes and not self.is_partitioned(viewer, vm)
             member = Member(vm, 1, 0, MemberState.ALIVE, zone, f"{vm}:1", ())
             yield member if is_seen else replace(member, state=MemberState.GONE)
 
--- a/tests/distribution/test_differential.py
+++ b/tests/distribution/test_differential.py
@@ -40,9 +40,9 @@
         network.kill(vm)
         network.start(vm, network.zones[vm])
     elif operation == "cut":
-        network.set_cut(lambda a, b: (a == vm) != (b == vm))
+        network.set_partition(lambda a, b: (a == vm) != (b == vm))
     elif operation == "join":
-        network.set_cut(lambda a, b: False)
+        network.set_partition(lambda a, b: False)
     elif operation in ("outage", "recover"):
         network.has_platform_outage = operation == "outage"
     network.run(100 if operation != "wait" else 2500)
@@ -75,7 +75,7 @@
         execute_step(network, number, step)
     network.drop_probability = network.duplicate_probability = 0.0
     network.has_platform_outage = False
-    network.set_cut(lambda a, b: False)
+    network.set_partition(lambda a, b: False)
     expected = poll({}, network.heads, network.objects)
     network.run_until(
         lambda: all(
--- a/tests/distribution/test_floor.py
+++ b/tests/distribution/test_floor.py
@@ -60,13 +60,13 @@
     network.accept("vm-0", make_intent("lantern", "v1"))
     network.run_until(lambda: network.all_in_force("lantern", 1))
     lagging = {"vm-3", "vm-4"}
-    network.set_cut(lambda a, b: (a in lagging) != (b in lagging))
+    network.set_partition(lambda a, b: (a in lagging) != (b in lagging))
     network.has_platform_outage = True
     network.accept("vm-0", make_intent("lantern", "v2"))
     network.run(1000)
     network.kill("vm-0")
     network.paused_vms = {"vm-1", "vm-2"}
-    network.set_cut(
+    network.set_partition(
         lambda a, b: "vm-0" not in (a, b) and (a in lagging) != (b in lagging)
     )
     network.start("vm-0")
--- a/tests/link.py
+++ b/tests/link.py
@@ -16,18 +16,18 @@
     NONE = "none"
     DELAY = "delay"
     RESET = "reset"
-    CUT = "cut"
-    CUT_ONE_WAY = "cut_one_way"
+    PARTITION = "cut"
+    PARTITION_ONE_WAY = "cut_one_way"
     SILENCE = "silence"
 
 
 class Link:
     """Relays TCP connections to one address.
 
-    A cut delays data until the link is healed, as TCP retransmission would. Silence
-    is permanent, but affects only the connections open at that moment: both ends
-    stay open, and new connections work. With port 0 the system chooses the port, and
-    `address` is set by `listen`.
+    A partition delays data until the link is healed, as TCP retransmission would.
+    Silence is permanent, but affects only the connections open at that moment: both
+    ends stay open, and new connections work. With port 0 the system chooses the port,
+    and `address` is set by `listen`.
     """
 
     def __init__(self, target: str, port: int = 0) -> None:
@@ -70,7 +70,7 @@
             self._healed.clear()
 
     def heal(self) -> None:
-        """End the fault and forward the data that a cut held back."""
+        """End the fault and forward the data that a partition held back."""
         self._fault = LinkFault.NONE
         self.delay_s = 0.0
         self._healed.set()
@@ -84,7 +84,7 @@
     ) -> None:
         self._n_connections += 1
         number = self._n_connections
-        if self._fault in (LinkFault.CUT, LinkFault.CUT_ONE_WAY):
+        if self._fault in (LinkFault.PARTITION, LinkFault.PARTITION_ONE_WAY):
             await self._healed.wait()
         try:
             far_reader, far_writer = await asyncio.open_connection(*self._target)
@@ -117,8 +117,8 @@
         is_inward: bool,
     ) -> None:
         while data := await reader.read(_CHUNK_BYTES):
-            if self._fault is LinkFault.CUT or (
-                self._fault is LinkFault.CUT_ONE_WAY and is_inward
+            if self._fault is LinkFault.PARTITION or (
+                self._fault is LinkFault.PARTITION_ONE_WAY and is_inward
             ):
                 await self._healed.wait()
             if self.delay_s:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -155,8 +155,9 @@
 def test_refusal_after_a_lost_answer_does_not_say_not_run():
     """The first attempt's answer is lost and the second attempt is refused.
 
-    If only the last attempt counted, the caller would be told `no` and would repeat a
-    request that may have run. The differential test of retries showed this fault.
+    If only the last attempt counted, the answer would state `no` and the caller would
+    repeat a request that may have run. The differential test of retries showed this
+    fault.
     """
     failed = attempt(ErrorKind.OVERLOADED, earlier_run=RunStatus.UNKNOWN)
     assert failed.run_status is RunStatus.UNKNOWN
--- a/tests/test_call_failures.py
+++ b/tests/test_call_failures.py
@@ -68,8 +68,8 @@
 async def test_truncated_answer_is_never_relayed_as_complete():
     """A target crashes in the middle of its answer.
 
-    If the part were relayed as whole, half a music pack would be saved as the whole
-    one.
+    If the part were relayed as complete, half a music pack would be saved as a
+    complete one.
     """
 
     async with Mesh(is_idempotent=True) as mesh:
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Tests of a followed document: versions only increase, apply whole, and propagate."""
+"""Tests of a followed document: versions only increase, apply as a whole, propagate."""
 
 from __future__ import annotations
 
--- a/tests/test_last_hop.py
+++ b/tests/test_last_hop.py
@@ -102,7 +102,7 @@
 
 @with_mesh(is_idempotent=False)
 async def test_connection_with_surplus_bytes_is_not_reused(mesh):
-    """A target sends an additional answer after a whole one."""
+    """A target sends an additional answer after a complete one."""
     surplus = answer_bytes() + answer_bytes(b"surplus")
     target = await mesh.add("a", answering_with(surplus, answer_bytes(b"second")))
     assert (await mesh.call(headers=(ID,))).body == b"ok"
--- a/tests/test_ordered_announcements.py
+++ b/tests/test_ordered_announcements.py
@@ -40,7 +40,7 @@
     """A target announces that it drains; an earlier announcement arrives afterwards.
 
     If announcements were applied in order of arrival, the target would get new calls
-    and cut them off when it exits.
+    and abort them when it exits.
     """
     fixture = Fixture()
     fixture.accept("i-1", 100, 5)
--- a/tests/test_process_drain.py
+++ b/tests/test_process_drain.py
@@ -23,7 +23,7 @@
 def test_draining_target_finishes_its_calls_and_gets_no_new_ones(fleet):
     """A target starts to drain while it runs slow calls.
 
-    A call that is cut off then is a lost booking. A call sent to the target later
+    A call that is aborted then is a lost booking. A call sent to the target later
     finds a closed port as soon as the target has stopped.
     """
     daemons = start_daemons(fleet, 3)
