--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -22,7 +22,7 @@
 
 # How long a target is avoided after a refusal, unless that requests a shorter delay.
 AVOIDED_MS: Final = 1_000
-# How long a target is avoided after it refused a call because its queue was full.
+# How long a target is avoided after it refused a call because it was overloaded.
 # Shorter than `AVOIDED_MS`, as each answer updates the reported load of such a target.
 FULL_AVOIDED_MS: Final = 50
 # How much shorter the wait in another zone must be, in addition to the transfer cost of
--- a/packages/pepperstair-targets/pepperstair_targets/runner.py
+++ b/packages/pepperstair-targets/pepperstair_targets/runner.py
@@ -75,7 +75,7 @@
         self.pool.set_connection_limit(target.n_connections_max)
 
     def retire(self) -> None:
-        """Refuse the waiting calls and close idle connections; running calls go on."""
+        """Refuse waiting calls and close idle connections; running calls continue."""
         self.slots.drain()
         self.pool.close()
 
@@ -188,7 +188,7 @@
         self._retired = [local for local in self._retired if local.n_in_flight]
 
     def drain(self) -> None:
-        """Refuse new and waiting calls from now on; those in flight go on."""
+        """Refuse new and waiting calls from now on; those in flight continue."""
         self.is_draining = True
         for local in self._local_targets.values():
             local.slots.drain()
--- a/packages/pepperstair-targets/pepperstair_targets/slots.py
+++ b/packages/pepperstair-targets/pepperstair_targets/slots.py
@@ -93,7 +93,7 @@
             self._apply_verdicts(self.admission.resize(n_slots, self._now_ms()))
 
     def drain(self) -> None:
-        """Refuse every waiting call; running calls go on."""
+        """Refuse every waiting call; running calls continue."""
         self._apply_verdicts(self.admission.drain())
 
     async def _wait(self, waiter: _Waiter, target: str) -> None:
--- a/tests/test_attempt_ends.py
+++ b/tests/test_attempt_ends.py
@@ -1,4 +1,4 @@
-"""Tests how the end of an attempt counts for its target."""
+"""Tests of the kinds of end by which attempts are classified."""
 
 from __future__ import annotations
 
--- a/tests/test_ordered_announcements.py
+++ b/tests/test_ordered_announcements.py
@@ -110,7 +110,7 @@
     fixture.now_ms = 1400
     assert not fixture.accept("i-1", 0, 9)
     assert fixture.states() == {"i-2": SERVING}
-    # The known target counts as gone after no announcement for `silent_ms`.
+    # The known target is considered gone after no announcement for `silent_ms`.
     fixture.now_ms = 3000
     assert fixture.accept("i-1", 0, 10)
     assert fixture.states() == {"i-1": SERVING}
