--- a/packages/pepperstair-peers/pepperstair_peers/data/outgoing.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/outgoing.py
@@ -125,7 +125,7 @@
         self._n_bytes_to_skip = self._n_received_bytes
 
     def stop_sending(self) -> None:
-        """Stop sending the request body, as the stream or the caller is gone."""
+        """Stop sending the request body, as stream or caller has disconnected."""
         if self._body_task is not None:
             self._body_task.cancel()
 
@@ -137,7 +137,7 @@
             self.body.fail(error)
             return
         self.answer.set_exception(error)
-        # The caller may already have left. Retrieving the exception keeps the
+        # The caller may have disconnected already. Retrieving the exception keeps the
         # event loop from logging it as never retrieved.
         self.answer.exception()
 
--- a/packages/pepperstair-targets/pepperstair_targets/runner.py
+++ b/packages/pepperstair-targets/pepperstair_targets/runner.py
@@ -75,7 +75,7 @@
         self.pool.set_connection_limit(target.n_connections_max)
 
     def retire(self) -> None:
-        """Refuse the waiting calls and close idle connections; running calls go on."""
+        """Refuse waiting calls and close idle connections; running calls continue."""
         self.slots.drain()
         self.pool.close()
 
@@ -188,7 +188,7 @@
         self._retired = [local for local in self._retired if local.n_in_flight]
 
     def drain(self) -> None:
-        """Refuse new and waiting calls from now on; those in flight go on."""
+        """Refuse new and waiting calls from now on; those in flight continue."""
         self.is_draining = True
         for local in self._local_targets.values():
             local.slots.drain()
@@ -255,8 +255,8 @@
     def _require_target(self, head: CallHead, now_ms: float) -> Target:
         """Return the target of a call, or refuse the call as not run.
 
-        This daemon refuses on behalf of a draining target, so that a daemon that does
-        not know of the draining yet is notified without any work being lost. The lease
+        Calls for a draining target are refused here: a daemon that has not received the
+        draining state yet is notified by the refusal, and no work is lost. The lease
         is checked for each call, as this process may have been paused while the lease
         lapsed and its timers may not have run yet.
         """
