--- a/packages/pepperstair-core/pepperstair_core/distribution/node.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/node.py
@@ -13,7 +13,7 @@
     Have,
     HeadsDigest,
     Inquire,
-    PollerBeacon,
+    PollerSign,
     Prune,
     Pull,
     SnapshotPart,
@@ -188,7 +188,7 @@
                 pulling.on_busy(state, sender, frame, now_ms)
             case HeadsDigest():
                 yield from self._on_heads_digest(sender, frame, now_ms)
-            case PollerBeacon():
+            case PollerSign():
                 yield from polling.on_poller_beacon(
                     self.polling, state, sender, frame, now_ms
                 )
--- a/packages/pepperstair-core/pepperstair_core/distribution/polling.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/polling.py
@@ -2,7 +2,7 @@
 
 The live members with the highest rendezvous hash poll for their zone. There is no
 election and no lease: overlapping pollers cost a few extra reads, and a paused one
-is replaced once membership detects it. A poller sends small beacons (`PollerBeacon`)
+is replaced once membership detects it. A poller sends small beacons (`PollerSign`)
 within its zone; a daemon that receives none reads the heads itself.
 """
 
@@ -14,7 +14,7 @@
 
 from ..rendezvous import highest
 from ..versions import Head
-from ..wire import PollerBeacon
+from ..wire import PollerSign
 from .actions import Actions, ReadBucketTokens, ReadHeads, Send
 from .pulling import schedule_pull
 from .state import DistributionState
@@ -122,7 +122,7 @@
     polling: PollingState,
     state: DistributionState,
     sender: str,
-    frame: PollerBeacon,
+    frame: PollerSign,
     now_ms: int,
 ) -> Actions:
     """Defer the fallback read, and forward the beacon once within the zone."""
@@ -154,7 +154,7 @@
     if now_ms < polling.beacon_due_ms:
         return
     polling.beacon_due_ms = now_ms + state.timing.beacon_interval_ms
-    beacon = PollerBeacon(
+    beacon = PollerSign(
         state.fleet.own_vm, state.rng.getrandbits(32), polling.is_reachable
     )
     for vm in _zone_neighbours(state):
--- a/packages/pepperstair-core/pepperstair_core/wire/control.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/control.py
@@ -147,7 +147,7 @@
     version: int
 
 
-class PollerBeacon(Frame, tag=19):
+class PollerSign(Frame, tag=19):
     """Beacon by which a poller shows its zone that it is alive.
 
     `is_platform_reachable` is whether the platform answered its last poll. `number`
@@ -259,7 +259,7 @@
     | Busy
     | Acknowledge
     | Inquire
-    | PollerBeacon
+    | PollerSign
     | MemberUpdate
     | MembersDigest
     | MemberRanks
@@ -292,7 +292,7 @@
     "MemberUpdate",
     "MemberRanks",
     "MembersDigest",
-    "PollerBeacon",
+    "PollerSign",
     "MembersPull",
     "Prune",
     "Pull",
