--- a/packages/pepperstair-callers/pepperstair_callers/attempt_ends.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempt_ends.py
@@ -52,8 +52,9 @@
     }
 )
 _SHEDDING_STATUSES: Final = frozenset({429, 503})
-# Callers send their remaining time in whole milliseconds. A timeout of at least this
-# share of the route's timeout is treated as the full timeout.
+# A caller's timeout of at least this share of the route's timeout is treated as the
+# full timeout. It may be slightly shorter because callers send their remaining time,
+# in whole milliseconds.
 FULL_TIMEOUT_SHARE: Final = 0.9
 
 
--- a/packages/pepperstair-callers/pepperstair_callers/attempts.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempts.py
@@ -172,8 +172,8 @@
     def _is_retry_worthwhile(self, response: StreamedResponse) -> bool:
         """Return whether to retry a failure answer on another target.
 
-        A target that fails only part of its requests looks healthy otherwise, and
-        callers would see errors that no other target returns.
+        A target that fails only some of its requests appears healthy. Without the
+        retry, callers would receive errors that no other target returns.
         """
         return (
             response.status in FAILED_STATUSES
@@ -309,7 +309,7 @@
             raise PepperstairError(failure) from error
 
     async def _prepare_retry(self, failure: Failure) -> None:
-        """Wait until the retry may start, or raise the failure if there is none."""
+        """Wait until the retry may start, or raise the failure if no retry follows."""
         failed = self._endpoint
         latency_ms = self._context.now_ms() - self._attempt_start_ms
         kind = classify_failure(failure, self._is_full_timeout)
@@ -347,8 +347,8 @@
         if isinstance(decision, GiveUp):
             self.given_up = decision.cause
             raise PepperstairError(final)
-        # After an overloaded target, the call is retried only on a target with free
-        # capacity. Otherwise each call would be refused several times in an overload.
+        # A call that an overloaded target refused is retried only on a target with a
+        # free slot. Otherwise each call would be refused several times in an overload.
         self._overload_failure = final if failure.kind is ErrorKind.OVERLOADED else None
         self._excluded = excluded
         report_retry(self._context, failed, failure, self.n_attempts)
--- a/packages/pepperstair-core/pepperstair_core/calls/admission.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/admission.py
@@ -199,9 +199,9 @@
         in time, and refusing it makes the whole page fail. The slots that it waits for
         would otherwise run the less urgent calls.
 
-        It may also if it takes a fraction of the time of other calls: refusing it frees
-        hardly any time for them, and such a short call is usually part of another
-        request.
+        It may also wait if it takes a fraction of the time of other calls: refusing it
+        frees hardly any time for them, and such a short call is usually part of
+        another request.
         """
         if self._times.is_short(call):
             return True
--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -32,8 +32,9 @@
 ZONE_MARGIN_PER_BYTE: Final = 1e-5
 # Up to this expected wait a target has a free slot and a call need not queue.
 FREE_SLOT_WAIT_MAX: Final = 1.0
-# How much fuller, as a share of its slots, a target of this daemon's zone must be than
-# one of another zone for a call to cross zones if neither has a free slot.
+# If neither a target of this daemon's zone nor one of another zone has a free slot, the
+# call crosses zones only if the load of the near target, divided by its slots, exceeds
+# that of the far target by more than this.
 FULL_ZONE_MARGIN: Final = 1.0
 # A target is quick enough for a route if its mean answer takes at most this share of
 # the objective; the remainder is a margin for slower answers.
--- a/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
@@ -14,7 +14,8 @@
 
 from msgspec import Struct
 
-# In mean service times.
+# Maximum debt of a customer whose calls took longer than the mean service time, in mean
+# service times.
 DEBT_MAX: Final = 20.0
 
 Order = tuple[int, float]
--- a/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
@@ -18,16 +18,18 @@
 
 # Crashes after which a request is quarantined from every target.
 N_CRASHES_MAX: Final = 3
-# From this many crashes on a request runs beside no other suspect, so that the next
-# crash identifies the one that caused it.
+# From this number of crashes on, a request does not run concurrently with other
+# suspects on a target, so that the next crash identifies the one that caused it.
 N_CRASHES_ISOLATED: Final = 2
 # Duration of the first quarantine; doubled with each further crash.
 QUARANTINE_MS: Final = 600_000
 QUARANTINE_MAX_MS: Final = 86_400_000
-# How long crashes count that are too few for a quarantine.
+# Time after the last crash for which the crashes count if they are too few for a
+# quarantine.
 RECORD_KEPT_MS: Final = 600_000
 N_TRACKED_MAX: Final = 1024
-# Further crashes of one request change nothing, and records have to fit into frames.
+# With the 11th crash the quarantine reaches its maximum duration, so further crashes of
+# a request change nothing, and records have to fit into frames.
 N_CRASH_IDS_MAX: Final = 16
 
 
@@ -165,7 +167,7 @@
         return (n_known, n_cleared) != (len(record.crash_ids), len(record.cleared_ids))
 
     def records(self) -> Iterator[CrashRecord]:
-        """Yield every record, for a daemon that may have none of them."""
+        """Yield every record, to send them to a daemon that may lack them."""
         for fingerprint in self._records:
             yield self.get(fingerprint)
 
@@ -185,12 +187,15 @@
         return 0 if self._is_expired(record, now_ms) else record.n_crashes
 
     def _is_expired(self, record: _Record, now_ms: float) -> bool:
-        """Return whether the crashes, too few for a quarantine, no longer count."""
+        """Return whether the crashes are too old to count.
+
+        Crashes that are enough for a quarantine count until they are cleared.
+        """
         is_quarantined = record.n_crashes >= N_CRASHES_MAX
         return not is_quarantined and now_ms >= record.crashed_ms + RECORD_KEPT_MS
 
     def _evict_if_full(self, now_ms: float) -> None:
-        """Evict the oldest record if full, preferring those that quarantine nothing."""
+        """Evict one record if full: the oldest one, quarantined requests last."""
         if len(self._records) < self._n_tracked_max:
             return
         self._records.pop(
--- a/packages/pepperstair-core/pepperstair_core/calls/retry.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/retry.py
@@ -21,9 +21,10 @@
 BACKOFF_MAX_MS: Final = 250.0
 BUDGET_INITIAL_PERCENT: Final = 1_000
 BUDGET_MAX_PERCENT: Final = 10_000
-# The part of the budget that calls of each priority must leave, in percent of a retry.
-# Under overload the refusals of less urgent calls would otherwise use all of it, and a
-# refused booking could not go to another target.
+# Part of the retry budget that a call of each priority must leave unused, in percent of
+# one retry: 500 reserves five retries. Without the reserve, refusals of less urgent
+# calls would use up the budget under overload, and a refused urgent call could not be
+# retried on another target.
 RESERVED_PERCENT: Final = {"urgent": 0, "normal": 500, "deferrable": 900}
 
 # Failures after which an idempotent call may be retried although it may have run.
--- a/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
@@ -11,9 +11,10 @@
 # Weight of the newest outcome in a route's failure rate, which covers about fifty calls
 # to all targets.
 FAILURE_RATE_WEIGHT: Final = 0.02
-# Errors in a row eject a target if they are less probable than this at the route's
-# failure rate over all targets. That rate is capped at `FAILURE_RATE_MAX`, at which 66
-# errors in a row eject a target, so that this still happens within seconds.
+# Consecutive errors eject a target if their probability, computed from the route's
+# failure rate over all targets, is below this. The failure rate is capped at
+# `FAILURE_RATE_MAX`, at which 66 consecutive errors eject a target. So even if nearly
+# all calls of the route fail, a target is ejected within seconds.
 CHANCE_STREAK_PROBABILITY_MAX: Final = 0.001
 FAILURE_RATE_MAX: Final = 0.9
 N_ROUTES_MAX: Final = 1_000
@@ -63,10 +64,10 @@
         known[route] = rate + FAILURE_RATE_WEIGHT * (is_failed - rate)
 
     def n_errors_to_eject(self, n_errors: int, route: str) -> int:
-        """Return how many errors in a row eject a target, at least `n_errors`.
+        """Return how many consecutive errors eject a target, at least `n_errors`.
 
         If a downstream service fails, all targets fail most calls and each soon has
-        some errors in a row. Ejecting them one after the other would leave the rest
+        some consecutive errors. Ejecting them one after the other would leave the rest
         with more calls than slots, although none of them is at fault.
         """
         rate = self._failure_rates.get(route, 0.0)
--- a/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
@@ -36,7 +36,7 @@
 
 
 class CallKey(Struct, frozen=True):
-    """The identity of a call, the same for every copy of its head that arrives."""
+    """The identity of a call, which is the same in every copy of its head."""
 
     sender: Sender
     call_id: int
@@ -152,7 +152,7 @@
         self.n_kept_bytes += answer.n_bytes
 
     def release(self, key: CallKey) -> None:
-        """Drop an answer that the caller has received, but not the fact of the run."""
+        """Drop an answer that the caller has received, but keep the run's record."""
         run = self._runs.get(key)
         if run is not None and run.state is RunState.ANSWERED:
             self._drop_answer(run)
--- a/packages/pepperstair-core/pepperstair_core/calls/service_times.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/service_times.py
@@ -93,7 +93,8 @@
     def _record_route(self, route: str, service_ms: float) -> None:
         known = self._mean_ms_by_route
         if len(known) >= N_ROUTES_MAX and route not in known:
-            # Routes change with each version; the means are soon known again.
+            # Each version may replace routes, and entries of removed routes accumulate.
+            # The means of the current routes are soon measured again.
             known.clear()
             self._deviation_ms_by_route.clear()
         mean_ms = known.get(route, service_ms)
--- a/packages/pepperstair-core/pepperstair_core/calls/target_health.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_health.py
@@ -18,8 +18,8 @@
 LATENCY_HALF_LIFE_MS: Final = 5_000
 # Weight of the newest outcome in the failure rate, which covers about ten calls.
 FAILURE_WEIGHT: Final = 0.1
-# With fewer failures the failure rate counts as 0: the ejection of targets whose calls
-# fail in a row handles these.
+# With fewer failures the failure rate is taken as 0. A target whose calls fail
+# consecutively is ejected regardless of this limit.
 N_FAILURES_MIN: Final = 8
 # Successes since the last failure after which earlier ejections no longer lengthen
 # the next one.
--- a/packages/pepperstair-core/pepperstair_core/config/settings.py
+++ b/packages/pepperstair-core/pepperstair_core/config/settings.py
@@ -226,7 +226,7 @@
 
 
 class PlatformSettings(Struct, frozen=True):
-    """The platform's table service and object store."""
+    """Access to the platform's table service and object store."""
 
     address: Annotated[
         str, Option("Address and port of the platform.", text_format=_ADDRESS)
--- a/packages/pepperstair-core/pepperstair_core/distribution/applying.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/applying.py
@@ -156,7 +156,7 @@
     """Keep a delta whose base is being pulled, to catch up without a second pull.
 
     The customer may change while a full snapshot is being pulled. Without these
-    deltas the receiver would stay a version behind and pull for ever.
+    deltas the receiver would stay a version behind and pull forever.
     """
     customer.received_version = customer.held_version
     if len(customer.early_deltas) >= _N_EARLY_DELTAS_MAX:
--- a/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
@@ -32,7 +32,7 @@
 
 
 class ReturnPath(Struct):
-    """The next hop for a customer's acknowledgements to a collector.
+    """The next hop for acknowledgements of one customer's versions to a collector.
 
     `is_acknowledged` is true once this daemon has acknowledged the version itself;
     `unreported_vms` are acknowledgements not yet forwarded to `parent`.
@@ -60,7 +60,7 @@
     now_ms: int,
     first_inquiry_ms: int,
 ) -> AcknowledgementCollection:
-    """Start to collect acknowledgements of a version or any newer one.
+    """Start collecting acknowledgements of a version or any newer one.
 
     An existing collection of a newer version that is held here also covers this one.
     """
--- a/packages/pepperstair-core/pepperstair_core/distribution/floor.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/floor.py
@@ -37,11 +37,11 @@
 class FloorState(Struct):
     """Progress in determining the floor; `answers` are neighbours' held versions.
 
-    Only answers of neighbours that have known their own floor count: otherwise
-    daemons that restarted together, all without any version, would confirm one
-    another. A neighbour that catches up after a pause counts, as its state survived
-    the pause; if its answer did not count, it and a restarted daemon could wait for
-    each other for ever.
+    An answer is used only if the neighbour has determined its own floor at least once:
+    otherwise daemons that restarted together, all without any version, would confirm
+    one another. This includes a neighbour that catches up after a pause, as its state
+    survived the pause; if its answer were ignored, it and a restarted daemon could wait
+    for each other forever.
 
     `number` identifies the requests since the last start or pause: an answer that was
     buffered during a pause would give an outdated floor.
--- a/packages/pepperstair-core/pepperstair_core/distribution/polling.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/polling.py
@@ -167,7 +167,7 @@
     """Restart the beacon timeout; it is longer while pollers report an outage.
 
     Otherwise all daemons would read at the same time throughout a platform outage, and
-    the platform would recover into a storm of reads.
+    their reads would overload the platform while it recovers.
     """
     timing = state.timing
     timeout_ms = timing.poller_timeout_ms
--- a/packages/pepperstair-core/pepperstair_core/distribution/serving.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/serving.py
@@ -74,7 +74,7 @@
 def _expire_pulls(state: DistributionState, now_ms: int) -> None:
     """Free the capacity of pulls whose receivers have not answered in time.
 
-    A paused neighbour would otherwise occupy it for ever, and after
+    A paused neighbour would otherwise occupy it forever, and after
     `n_pulls_served_max` such neighbours every later pull would be declined.
     """
     for key, until_ms in list(state.served_pulls.items()):
--- a/packages/pepperstair-core/pepperstair_core/membership/edges.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/edges.py
@@ -119,7 +119,7 @@
             yield from self._dial(self._rng.choice(addresses), now_ms)
 
     def iter_closes(self, now_ms: int) -> Iterator[Close]:
-        """Yield closes of the streams that have been unwanted for the grace period."""
+        """Yield a `Close` for each stream unwanted for at least the grace period."""
         for vm in sorted(self._connected):
             if vm in self._wanted_since_ms:
                 self._unwanted_since_ms.pop(vm, None)
--- a/packages/pepperstair-core/pepperstair_core/shared_reading.py
+++ b/packages/pepperstair-core/pepperstair_core/shared_reading.py
@@ -22,15 +22,15 @@
 
 # Number of daemons that watch the table continuously.
 N_WATCHERS: Final = 2
-# Age of the last confirmation at which a watch of the first watcher ends, as a share of
-# the time in which a version has to be in force: all other daemons rely on its answers.
+# Age of the last confirmation at which the first watcher ends its watch, as a share of
+# `bound_ms`. All other daemons rely on the confirmation that this answer gives.
 FIRST_WATCH_SHARE: Final = 0.45
 # Maximum duration of a watch of the other watchers, which deliver a version if the
 # watch of the first one hangs.
 STANDBY_WATCH_MS: Final = 10_000.0
-# Age of a confirmation at which the first of the remaining daemons reads, and the range
-# of ages at which the last ones do, as shares of the time in which a version has to be
-# in force.
+# Ages of the last confirmation at which daemons other than the watchers read, as shares
+# of `bound_ms`. The first of them reads at `FIRST_READ_SHARE`; the last ones read at
+# `LAST_READ_SHARE` plus a random part of `LAST_READ_SPREAD_SHARE`.
 FIRST_READ_SHARE: Final = 0.6
 LAST_READ_SHARE: Final = 0.7
 LAST_READ_SPREAD_SHARE: Final = 0.1
@@ -45,8 +45,8 @@
 MEMBERSHIP_SETTLE_MS: Final = 1_000.0
 # Time for which a daemon leaves watching to others after a failed read.
 READ_FAILURE_HOLDOFF_MS: Final = 5_000.0
-# How much newer than the last one a confirmation must be to be forwarded, as a share of
-# the age at which the first of the remaining daemons reads.
+# A confirmation is forwarded if it is newer than the last one by more than this share
+# of `max_age_ms`.
 FORWARD_SHARE: Final = 0.25
 # While the table is unavailable, this many daemons retry at the usual interval. All
 # others retry at an interval longer by this factor: the former notify them once the
@@ -139,7 +139,7 @@
     def watch_ms(self, rank: int, now_ms: float) -> int:
         """Return the duration of a watcher's next watch.
 
-        A watch of the first watcher ends when the next confirmation is due, also if it
+        A watch of the first watcher ends when the next confirmation is due, even if it
         starts after a pause or after another daemon's confirmation.
         """
         if rank == 0:
--- a/packages/pepperstair-operators/pepperstair_operators/client.py
+++ b/packages/pepperstair-operators/pepperstair_operators/client.py
@@ -63,11 +63,11 @@
 
 
 def _read_reply(method: str, response: Response) -> Result[Reply, Failure]:
-    """Parse an answer; a server other than a daemon may not answer in JSON."""
+    """Parse an answer; return a failure if it is not JSON, so not from a daemon."""
     try:
         return Ok(Reply(response.status, json.loads(response.body)))
     except ValueError:
-        detail = f"status {response.status} without JSON, no operators' interface"
+        detail = f"status {response.status} without JSON: not an operators' interface"
         return Err(_no_reply(method, detail))
 
 
--- a/packages/pepperstair-peers/pepperstair_peers/data/link.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/link.py
@@ -33,8 +33,9 @@
 N_SILENT_HEARTBEATS: Final = 2
 _N_IDLE_HEARTBEATS: Final = 60
 _N_COMPLETED_IDS_MAX: Final = 4096
-# Three dials with their pauses take four to five heartbeats. An idempotent call is
-# recovered only if that is less than a quarter of its initial `time_left_ms`.
+# An idempotent call on a silent stream is recovered only if its initial `time_left_ms`
+# exceeds this. Recovery by three dials, with the pauses between them, takes four to
+# five heartbeats, less than a quarter of such a call's time.
 _N_URGENT_HEARTBEATS: Final = 20
 
 
@@ -121,7 +122,7 @@
             self._stream.close()
 
     def reset_silence_timer(self, now_ms: int) -> None:
-        """Restart the silence timeout after this process itself was not reading."""
+        """Restart the silence timeout after this process was paused or blocked."""
         self._last_received_ms = now_ms
 
     def close(self) -> None:
@@ -149,8 +150,8 @@
 
         The silence timeout is the larger of the values configured at both ends for
         their links. A large answer on a 5 Mbit/s link delays everything behind it
-        for most of a second. Streams closed because of that would all be reopened on
-        the same link, and calls would fail on healthy VMs.
+        for most of a second. If streams were closed because of that delay, all would
+        be reopened on the same link, and calls would fail on healthy VMs.
         """
         if now_ms - self._last_received_ms >= self._silence_ms:
             self._stream.close()
@@ -229,8 +230,9 @@
             self.n_dropped_frames += 1
             return
         if isinstance(frame, (AnswerHead, CallFailed)):
-            # This load is newer than the last heartbeat's. Choices based on a
-            # load of a second ago would send a burst to a target that is now full.
+            # This load is newer than that of the last heartbeat. If targets were
+            # chosen by loads that are a second old, a target that has become full
+            # would receive a burst of calls.
             load = Load(frame.n_in_flight, frame.n_queued)
             self.loads[call.head.target] = load
         if self._resend_undelivered(call, frame):
@@ -246,8 +248,8 @@
     def _resend_undelivered(self, call: OutgoingCall, frame: Any) -> bool:
         """Resend a call that did not reach the peer, and return whether it was resent.
 
-        The peer has answered a query that it never received the call. From then on it
-        refuses the call on any earlier stream, so the call cannot run twice.
+        The peer has replied to an outcome query that it never received the call. From
+        then on it refuses the call on any earlier stream, so the call can't run twice.
         """
         if not isinstance(frame, CallFailed) or frame.run is not RunStatus.NO:
             return False
--- a/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
+++ b/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
@@ -15,14 +15,14 @@
 
 log = structlog.get_logger(__name__)
 
-# A VM runs only one target at a time, so delayed announcements come from far fewer than
-# the last 64 targets.
+# A VM runs only one target at a time, so the announcements still in transit come from a
+# few of its most recent targets, far fewer than 64.
 N_DEPARTURES_MAX: Final = 64
 # Maximum delay of an announcement in transit. The platform states that announcements
 # may be delayed by seconds.
 ANNOUNCEMENT_DELAY_MAX_MS: Final = 30_000
-# Sequence number of a departure after which every announcement of the same start is
-# ignored.
+# Sequence number of the departure of a deregistered target: every announcement from the
+# same start of the target precedes it and is ignored.
 LAST_SEQUENCE: Final = 2**63 - 1
 
 
@@ -169,7 +169,8 @@
         """Return whether the current target has deregistered or presumably crashed.
 
         Without this check, a delayed announcement of an earlier target would replace
-        the running target, which refuses all calls addressed to the other.
+        the running target, which refuses all calls that are addressed to the earlier
+        one.
         """
         departure = self._departures.get(newest.target.name)
         if departure is not None and departure.sequence == LAST_SEQUENCE:
--- a/packages/pepperstaird/pepperstaird/configuration/agent.py
+++ b/packages/pepperstaird/pepperstaird/configuration/agent.py
@@ -182,7 +182,7 @@
         return self._in_force.get(customer)
 
     def collect(self, customer: str, version: int) -> AcknowledgementCollection:
-        """Start to collect the VMs that have a version in force.
+        """Start collecting acknowledgements from the VMs with a version in force.
 
         The first inquiry to the fleet is sent without delay.
         """
--- a/packages/pepperstaird/pepperstaird/daemon.py
+++ b/packages/pepperstaird/pepperstaird/daemon.py
@@ -264,7 +264,7 @@
         self.call_server.reset_streams()
 
     async def start(self, callers_socket: socket.socket | None = None) -> None:
-        """Listen on every address and start to join the fleet.
+        """Listen on every address and start joining the fleet.
 
         `callers_socket` is the listening socket for callers if it is already open.
         Raise OSError if an address can't be bound.
@@ -341,7 +341,7 @@
         return policies.find(customer, labels)
 
     def publish_targets(self) -> None:
-        """Announce the targets of this VM to the fleet, as draining during a stop."""
+        """Announce this VM's targets to the fleet; while stopping, as draining."""
         self.runner.sync_with_registry()
         targets = self.registry.targets()
         if self.is_stopping:
--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -29,9 +29,9 @@
 # Announcements are delayed by seconds, so ten minutes cover all of them. A daemon
 # that writes a row deletes older ones of others.
 RETENTION_MS: Final = 600_000
-# How long an acknowledgement waits for the write of its row, and the first
-# announcement for the read. Targets wait a second for the answer; a row takes some
-# 20 ms.
+# Maximum time that the acknowledgement of a departure waits until its row is written,
+# and that the first announcement waits until the row is read. Targets wait a second
+# for the answer; to read or write a row takes some 20 ms.
 WAIT_MAX_S: Final = 0.4
 
 
@@ -61,11 +61,11 @@
         self._write_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start to read the row of an earlier process."""
+        """Start reading the row of an earlier process."""
         self._start_restore()
 
     async def wait_restored(self) -> None:
-        """Wait until the row was read, for up to `WAIT_MAX_S`.
+        """Wait for up to `WAIT_MAX_S` until the row has been read.
 
         During an outage of the platform the row is unavailable. The daemon then serves
         its target without it: a delayed announcement is rare and does less harm than a
--- a/packages/pepperstaird/pepperstaird/dependencies.py
+++ b/packages/pepperstaird/pepperstaird/dependencies.py
@@ -76,7 +76,7 @@
     """This daemon's row in the platform's table of daemons."""
 
     def start(self) -> None:
-        """Start to write this daemon's row and to read the others."""
+        """Start writing this daemon's row and reading the others."""
 
     async def remove_own(self) -> None:
         """Delete this daemon's row, as the daemon leaves the fleet."""
--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -29,9 +29,9 @@
 
 # Time after which a pull that was not answered is sent to another neighbour.
 _PULL_RETRY_S: Final = 0.75
-# How long a pull is delayed while this daemon's own watch may deliver the version that
-# a neighbour already has: immediate pulls would transfer each version to every daemon
-# once more.
+# Delay of a pull while this daemon's own watch may deliver the version that a neighbour
+# already has. Without the delay, every daemon that watches the table would receive each
+# version twice.
 _PULL_DELAY_S: Final = 0.25
 # Number of versions whose documents are kept as bases of deltas.
 _N_RECENT_DOCUMENTS_MAX: Final = 3
@@ -115,36 +115,37 @@
             return -1
         return max(0, int(boot_ms() - self._schedule.confirmed_ms))
 
-    def _announce(self, version: int, learnt_from: str = "") -> None:
+    def _announce(self, version: int, source_vm: str = "") -> None:
         """Announce a version to the neighbours as soon as it is known to exist.
 
-        They pull it immediately and receive it when it arrives here. Its propagation
-        through the fleet then takes as long as the transfers, without the time that
-        each daemon on the path needs to read it. `learnt_from` is the neighbour that
-        announced the version, empty if this daemon has put it in force.
+        The neighbours pull it immediately, and their pulls are answered as soon as the
+        version arrives here. Its propagation through the fleet then takes only the time
+        of the transfers, without the time that each daemon on the path needs to read
+        the document. `source_vm` is the neighbour that announced the version, empty if
+        this daemon has put it in force.
         """
         if version <= self._announced_version:
             return
         self._announced_version = version
         for vm in self._control.neighbours:
-            if vm != learnt_from:
+            if vm != source_vm:
                 self._control.send(vm, DocumentHave(version))
 
-    def confirm(self, position: int, as_of_ms: float, learnt_from: str = "") -> None:
+    def confirm(self, position: int, as_of_ms: float, source_vm: str = "") -> None:
         """Record that the version in force was the newest, and notify neighbours.
 
         `as_of_ms` is the moment of the confirmation on the clock of `boot_ms`, and
-        `learnt_from` the neighbour that sent it, empty if this daemon read the table.
+        `source_vm` the neighbour that sent it, empty if this daemon read the table.
         """
         self._advance_position(position)
-        if learnt_from:
+        if source_vm:
             self.is_newest_known = True
         if self._schedule is None or not self._schedule.confirm(as_of_ms):
             return
         if not self.is_newest_known:
             return
         for vm in self._control.neighbours:
-            if vm != learnt_from:
+            if vm != source_vm:
                 self._control.send(vm, self._freshness_frame())
 
     def _advance_position(self, position: int) -> None:
@@ -162,7 +163,7 @@
             self._control.send(vm, self._freshness_frame())
 
     def _on_neighbour_down(self, vm: str) -> None:
-        """Repeat a pull at another neighbour if the lost one was to answer it."""
+        """Repeat a pull at another neighbour if the lost one has not answered it."""
         self._pending_pulls.pop(vm, None)
         if vm in self._sources:
             self._sources.remove(vm)
@@ -210,9 +211,9 @@
         self._control.send(vm, self._update_since(held_version))
 
     def _update_since(self, held_version: int) -> DocumentCopy | DocumentDelta:
-        """Return the update for a neighbour that holds some version.
+        """Return an update to the version in force for a neighbour.
 
-        It is a delta if that version is among the recent ones and the delta is small
+        It is a delta if `held_version` is among the recent ones and the delta is small
         enough, else a full copy. Each is compressed once for all neighbours.
         """
         data = self._following.document.data
--- a/packages/pepperstaird/pepperstaird/member_rows.py
+++ b/packages/pepperstaird/pepperstaird/member_rows.py
@@ -35,7 +35,7 @@
 _PREFIX: Final = "member/"
 _FIRST_WRITE_DELAY_MAX_S: Final = 2.0
 # While this daemon's row is not written, or no neighbour is known, the platform is
-# queried again with exponential backoff, so that an outage causes no storm of retries.
+# queried again with exponential backoff, so that an outage causes no retry storm.
 _RETRY_MIN_S: Final = 0.5
 _RETRY_MAX_S: Final = 8.0
 
@@ -71,7 +71,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start to write and read rows."""
+        """Start writing and reading rows."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
--- a/packages/pepperstaird/pepperstaird/quarantine_rows.py
+++ b/packages/pepperstaird/pepperstaird/quarantine_rows.py
@@ -46,7 +46,7 @@
             self.read()
 
     def read(self) -> None:
-        """Start to read the rows of all daemons, unless a read is in progress."""
+        """Start reading the rows of all daemons, unless a read is in progress."""
         if self._read_task is None or self._read_task.done():
             self._read_task = _create_task(self._read())
 
