--- a/packages/pepperstair-core/pepperstair_core/calls/admission.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/admission.py
@@ -1,6 +1,6 @@
 """Admission control of one target: run, queue or refuse each call.
 
-Only the daemon beside a target sends it work, so the slot count is exact and a
+Only the daemon on a target's VM sends it calls, so the slot count is exact and a
 refusal proves that the call did not run.
 """
 
--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -25,9 +25,9 @@
 # How long a target is avoided after it refused a call because it was overloaded.
 # Shorter than `AVOIDED_MS`, as each answer updates the reported load of such a target.
 FULL_AVOIDED_MS: Final = 50
-# How much shorter the wait in another zone must be, in addition to the transfer cost of
-# the answer. The unit of both is the answer time of the fastest target; a transfer of
-# 100 KB between zones counts as one unit.
+# A call crosses zones only if the wait in the other zone is shorter by more than this
+# plus the transfer cost of the answer. The unit of both is the answer time of the
+# fastest target; a transfer of 100 KB between zones counts as one unit.
 ZONE_MARGIN: Final = 0.25
 ZONE_MARGIN_PER_BYTE: Final = 1e-5
 # Up to this expected wait a target has a free slot and a call need not queue.
--- a/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
@@ -26,7 +26,7 @@
 
 
 class Load(Struct, frozen=True):
-    """The load of a target as last reported by the daemon beside it."""
+    """The load of a target as last reported by the daemon on its VM."""
 
     n_in_flight: int
     n_queued: int
--- a/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
@@ -119,7 +119,7 @@
         """Record the crash of a target and return the records of the charged requests.
 
         Only the running requests with the most earlier crashes are charged: they
-        explain this crash, and requests that ran beside them must not become suspects.
+        explain this crash, and requests that ran concurrently must not become suspects.
         """
         running = set(running)
         if not running:
--- a/packages/pepperstair-core/pepperstair_core/membership/edges.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/edges.py
@@ -89,7 +89,7 @@
         self._backoff.fail(address, now_ms)
 
     def iter_dials(self, now_ms: int) -> Iterator[Dial]:
-        """Yield dials to the wanted neighbours for which one is due."""
+        """Yield a `Dial` for each wanted neighbour that is due to be dialled."""
         for vm, since_ms in self._wanted_since_ms.items():
             member = self._directory.get(vm)
             if vm in self._connected or member is None:
@@ -99,7 +99,7 @@
                 yield from self._dial(member.peer_address, now_ms)
 
     def iter_join_dials(self, now_ms: int) -> Iterator[Dial]:
-        """Yield dials to join the fleet while no stream is open at all."""
+        """Yield dials of addresses to join the fleet while no stream is open."""
         if self._connected:
             return
         addresses = self._unknown_addresses()
--- a/packages/pepperstair-core/pepperstair_core/membership/liveness.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/liveness.py
@@ -13,7 +13,7 @@
         self._received_at_ms: dict[str, int] = {}
 
     def watch(self, vm: str, now_ms: int) -> None:
-        """Start to expect heartbeats from a VM; no effect if it is watched already."""
+        """Start expecting heartbeats from a VM; no effect if it is watched already."""
         self._received_at_ms.setdefault(vm, now_ms)
 
     def mark_received(self, vm: str, now_ms: int) -> None:
--- a/packages/pepperstaird/pepperstaird/dependencies.py
+++ b/packages/pepperstaird/pepperstaird/dependencies.py
@@ -45,7 +45,7 @@
     reached_by: str
 
     def start(self) -> None:
-        """Start to follow the source."""
+        """Start following the source."""
 
     def close(self) -> None:
         """Stop following."""
--- a/packages/pepperstaird/pepperstaird/follower.py
+++ b/packages/pepperstaird/pepperstaird/follower.py
@@ -136,7 +136,7 @@
         return self._learnt_from
 
     def start(self) -> None:
-        """Start to follow the table and to process frames of the neighbours."""
+        """Start following the table and processing frames of the neighbours."""
         self._exchange.start()
         self._watch_task = asyncio.get_running_loop().create_task(self._watch())
 
--- a/packages/pepperstaird/pepperstaird/metrics.py
+++ b/packages/pepperstaird/pepperstaird/metrics.py
@@ -101,7 +101,7 @@
         self.n_dropped = 0
 
     def start(self) -> None:
-        """Start to send at the interval, if the settings name a receiver."""
+        """Start sending metrics at the interval, if the settings name a receiver."""
         if not self._settings.statsd_address:
             return
         self.open()
--- a/tests/call_mesh.py
+++ b/tests/call_mesh.py
@@ -59,7 +59,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> str:
-        """Start to listen and return the address."""
+        """Start listening and return the address."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
         return f"127.0.0.1:{port}"
--- a/tests/soak/instance.py
+++ b/tests/soak/instance.py
@@ -79,7 +79,7 @@
         return self._port
 
     def announce(self) -> None:
-        """Start to send heartbeats."""
+        """Start sending heartbeats."""
         self._heartbeat_task = asyncio.get_running_loop().create_task(
             self._send_heartbeats()
         )
