--- a/emulator/pepperstair_emulator/attempts.py
+++ b/emulator/pepperstair_emulator/attempts.py
@@ -26,7 +26,7 @@
     from .fleet import EmulatedDaemon, Fleet
     from .targets import EmulatedTarget
 
-# Retry-after time of refusals that give none.
+# Retry-after time that a client is given if the refusal states none.
 RETRY_AFTER_DEFAULT_MS = 1_000
 SAME_VM_LATENCY_MS = 0.1
 SAME_ZONE_LATENCY_MS = 0.2
@@ -198,8 +198,8 @@
             self._on_done(Outcome(is_good=True))
             return
         if failure.kind is ErrorKind.INTERNAL:
-            # The run itself failed: the failure is returned without another attempt,
-            # as the product does where a request may not run twice.
+            # The target failed while running the call: the failure is returned without
+            # another attempt, as the product does for a request that may not run twice.
             self._end(EndKind.ERROR, latency_ms)
             self._on_done(Outcome(is_good=False))
             return
--- a/emulator/pepperstair_emulator/fleet.py
+++ b/emulator/pepperstair_emulator/fleet.py
@@ -23,9 +23,9 @@
 
 LOAD_REPORT_INTERVAL_MS = 250.0
 RETRY_WINDOW_MS = 10_000
-# A client honours a retry-after time up to this share of its remaining time.
+# Maximum share of its remaining time that a client waits because of a retry-after time.
 RETRY_AFTER_MAX_SHARE = 1 / 3
-# Mean delay before a client retries a failure without a retry-after time.
+# Mean delay before a client retries after a failure that states no retry-after time.
 CLIENT_BACKOFF_MEAN_MS = 100.0
 
 
--- a/packages/pepperstair-callers/pepperstair_callers/attempt_ends.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempt_ends.py
@@ -31,11 +31,12 @@
         ErrorKind.TARGET_UNREACHABLE,
     }
 )
-# Statuses by which a target reports a failure of its own and that are retried on
-# another target. A 504 is not: the retry would time out too, with less time.
+# Statuses by which a target reports a failure of its own and after which the call is
+# retried on another target. A 504 is not among them: the retry would have less time
+# than the first attempt and would time out too.
 FAILED_STATUSES: Final = frozenset({500, 502})
-# Minimum share of the timeout that must remain for a retry. With less, another
-# attempt rarely ends before the deadline.
+# Minimum share of a call's timeout that must remain for a retry. With less time,
+# another attempt rarely ends before the deadline.
 RETRY_MIN_TIME_SHARE: Final = 0.25
 # Failures that prove that the call reached no target.
 _NOT_DELIVERED_KINDS: Final = frozenset(
@@ -52,9 +53,9 @@
     }
 )
 _SHEDDING_STATUSES: Final = frozenset({429, 503})
-# A caller's timeout of at least this share of the route's timeout is treated as the
-# full timeout. It may be slightly shorter because callers send their remaining time,
-# in whole milliseconds.
+# Minimum share of the route's timeout at which a caller's timeout is treated as the
+# full timeout. A caller's timeout may be slightly shorter than the route's because
+# callers send their remaining time, in whole milliseconds.
 FULL_TIMEOUT_SHARE: Final = 0.9
 
 
--- a/packages/pepperstair-callers/pepperstair_callers/attempts.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempts.py
@@ -40,9 +40,9 @@
 
 log = structlog.get_logger(__name__)
 
-# The daemon on the target's VM gets slightly less than the remaining time, so that its
-# exact answer (not run, or unknown) arrives before the timeout of this daemon, which
-# can only report `unknown`.
+# Margin by which the timeout sent to the daemon on the target's VM is shorter than the
+# remaining time. With this margin, the exact answer of that daemon (not run, or
+# unknown) arrives before this daemon times out and can only report `unknown`.
 HOP_MARGIN_MS: Final = 5
 HOP_MARGIN_SHARE: Final = 0.1
 
@@ -110,7 +110,8 @@
         self.fingerprint = b""
         self.given_up: GiveUpCause | None = None
         self.run = RunStatus.NO
-        # Attempts for the log, each as VM, target, end and latency in milliseconds.
+        # Finished attempts, for the log: the VM, the target, how the attempt ended, and
+        # its latency in milliseconds.
         self.tried: list[tuple[str, str, str, float]] = []
 
     @property
@@ -193,7 +194,8 @@
             await self._prepare_retry(failure)
             return await self.send_until_answered()
         except PepperstairError:
-            # The first target's answer is more specific than the retry's failure.
+            # If the retry fails too, the first target's answer is returned, as it is
+            # more specific than the failure of the retry.
             self._endpoint = None
             self._excluded = self._excluded | {failed_endpoint.key}
             return failed
--- a/packages/pepperstair-callers/pepperstair_callers/proxy.py
+++ b/packages/pepperstair-callers/pepperstair_callers/proxy.py
@@ -27,11 +27,12 @@
 
 log = structlog.get_logger(__name__)
 
-# How long a request waits for a daemon that has just started. Targets announce
-# themselves every 1.5 s; half of them are known after half a second.
+# Maximum time that a request waits in a daemon that has just started until the request
+# can be routed. Targets announce themselves every 1.5 s; half of them are known after
+# half a second.
 STARTUP_WAIT_MAX_MS: Final = 500.0
-# Maximum share of the caller's timeout spent on that wait. After a longer wait, the
-# request would miss its deadline.
+# Maximum share of the caller's timeout that a request waits in a daemon that has just
+# started. After a longer wait, the request would miss its deadline.
 STARTUP_WAIT_SHARE: Final = 0.25
 STARTUP_POLL_INTERVAL_MS: Final = 20
 
@@ -49,7 +50,7 @@
         self.n_in_flight = 0
         self.n_held_at_start = 0
         self.n_quarantined = 0
-        # Number of failed calls by the reason why they were not retried.
+        # Number of failed calls that were not retried, by the reason.
         self.n_given_up = dict.fromkeys(GiveUpCause, 0)
         self._scopes: set[asyncio.Timeout] = set()
 
@@ -59,8 +60,8 @@
         self.n_in_flight += 1
         start_ms = self._context.now_ms() - exchange.queued_s * 1000
         call: ProxiedCall | None = None
-        # The outcome unless another one is set below. If the caller disconnects, this
-        # task is cancelled before it sets one.
+        # The outcome that is recorded if the caller disconnects: this task is then
+        # cancelled before it sets another outcome below.
         status, error = ANSWERS[ErrorKind.CANCELLED].status, ErrorKind.CANCELLED
         try:
             try:
--- a/packages/pepperstair-cli/pepperstair_cli/changes.py
+++ b/packages/pepperstair-cli/pepperstair_cli/changes.py
@@ -51,8 +51,8 @@
         change_id=change_id,
         from_version=options.from_version,
         # An explicit change id may belong to an earlier attempt, perhaps sent to
-        # another daemon. During a platform outage only that daemon knows for
-        # certain that the change was not accepted.
+        # another daemon. During a platform outage, only the daemon that received the
+        # earlier attempt knows for certain that the change was not accepted.
         is_asked_again="true" if options.change_id else None,
     )
     body = intent_to_toml(intent).encode()
--- a/packages/pepperstair-cli/pepperstair_cli/fleet.py
+++ b/packages/pepperstair-cli/pepperstair_cli/fleet.py
@@ -17,7 +17,8 @@
 from .output import CommandFailure
 
 _N_REQUESTS_IN_FLIGHT_MAX: Final = 32
-# A paused member never answers, and many paused members must not delay the report.
+# Timeout of the request to one member. A paused member never answers, and many paused
+# members must not delay the report.
 _MEMBER_TIMEOUT_MS: Final = 2000
 _INACTIVE_STATES: Final = frozenset({"gone", "left"})
 
--- a/packages/pepperstair-core/pepperstair_core/calls/admission.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/admission.py
@@ -24,15 +24,16 @@
 # every deferrable call is old, and running all of them first would invert priorities.
 AGED_GRANT_INTERVAL: Final = 10
 AGED_AFTER_MS: Final = 500.0
-# Calls that can no longer be answered in their wanted time are queued behind those that
-# can, for at most this share of the time between their arrival and their deadline. An
-# early refusal leaves their callers time to try another target; callers themselves
-# retry after a third of their time.
+# Maximum time that a late call is queued, as a share of the time between its arrival
+# and its deadline. A call is late if its answer can no longer arrive within the wanted
+# time; late calls are queued behind all others. An early refusal leaves their callers
+# time to try another target; without a refusal, callers retry after a third of their
+# time.
 LATE_WAIT_SHARE: Final = 1 / 3
-# An overload is over when no call has been refused for this time.
+# Time without a refused call after which an overload is considered to be over.
 OVERLOAD_GAP_MS: Final = 1_000.0
-# Calls of a priority are considered to be arriving if the last one arrived within this
-# time.
+# Time after the arrival of a call for which calls of its priority are considered to be
+# still arriving.
 LESS_URGENT_RECENT_MS: Final = 1_000.0
 
 
--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -20,34 +20,40 @@
 if TYPE_CHECKING:
     from ..routing import Endpoint
 
-# How long a target is avoided after a refusal, unless that requests a shorter delay.
+# Maximum time for which a target is avoided after it refused a call. A shorter
+# retry-after time of the refusal takes precedence.
 AVOIDED_MS: Final = 1_000
-# How long a target is avoided after it refused a call because it was overloaded.
-# Shorter than `AVOIDED_MS`, as each answer updates the reported load of such a target.
+# Time for which a target is avoided after it refused a call because it was overloaded.
+# This time is shorter than `AVOIDED_MS` because each answer updates the reported load
+# of such a target.
 FULL_AVOIDED_MS: Final = 50
-# A call crosses zones only if the wait in the other zone is shorter by more than this
-# plus the transfer cost of the answer. The unit of both is the answer time of the
-# fastest target; a transfer of 100 KB between zones counts as one unit.
+# A call crosses zones only if the expected wait in the other zone is shorter than in
+# this zone by more than `ZONE_MARGIN` plus the transfer cost of the answer, which is
+# `ZONE_MARGIN_PER_BYTE` for each byte. Waits, margin and cost are in units of the
+# answer time of the fastest target; a transfer of 100 KB between zones costs one unit.
 ZONE_MARGIN: Final = 0.25
 ZONE_MARGIN_PER_BYTE: Final = 1e-5
-# Up to this expected wait a target has a free slot and a call need not queue.
+# Maximum expected wait at which a target is considered to have a free slot, so that a
+# call need not queue. The unit is the answer time of the fastest target.
 FREE_SLOT_WAIT_MAX: Final = 1.0
-# If neither a target of this daemon's zone nor one of another zone has a free slot, the
-# call crosses zones only if the load of the near target, divided by its slots, exceeds
-# that of the far target by more than this.
+# Margin for a call if neither a target of this daemon's zone nor a target of another
+# zone has a free slot: the call crosses zones only if the load per slot of the near
+# target exceeds the load per slot of the far target by more than this.
 FULL_ZONE_MARGIN: Final = 1.0
-# A target is quick enough for a route if its mean answer takes at most this share of
-# the objective; the remainder is a margin for slower answers.
+# Maximum share of a route's latency objective that the mean latency of a target may
+# take if the target is to be quick enough for the route. The remainder is a margin for
+# answers that take longer than the mean.
 QUICK_SHARE: Final = 0.6
-# The age of a call that may be queued says little about the speed of its target.
+# Weight of the age of an unanswered call in the latency of its target if the call may
+# be queued there: a queued call's age says little about the target's speed.
 QUEUED_AGE_WEIGHT: Final = 0.25
 EVICTED_AFTER_MS: Final = 60_000
 N_TRACKED_MAX: Final = 2_000
-# A daemon that starts discovers all targets within some seconds: they are announced
-# every 1.5 s and the announcements are relayed by one or two other daemons.
+# Time after which a daemon that has started is expected to know all targets: targets
+# are announced every 1.5 s, and one or two other daemons relay each announcement.
 JOINING_MS: Final = 5_000
-# Maximum number of cached groups. Each of dozens of services has a group, which is
-# replaced by a new one whenever members change.
+# Maximum number of cached target groups. Each of dozens of services has a group, which
+# is replaced by a new one whenever members change.
 N_GROUPS_MAX: Final = 64
 
 
@@ -184,10 +190,13 @@
             self._latencies.record_outcome(end.route, True)
             health.fail(now_ms)
             if end.kind is EndKind.UNREACHABLE:
-                # Otherwise every call to an unreachable VM would be lost until the
-                # usual number of errors is reached.
+                # One failure is enough to eject a target whose VM is unreachable.
+                # Otherwise every call to the VM would be lost until the usual number of
+                # errors is reached.
                 health.n_errors = max(health.n_errors, endpoint.policy.ejection_errors)
-            # A quick failure is no measure of speed; a timeout is.
+            # A failure is recorded as a latency only if it took longer than the
+            # target's known latency, as a timeout does: a quick failure is no measure
+            # of speed.
             latency_ms = end.latency_ms * self._latencies.scale(end.route)
             if latency_ms > health.latency_ms(now_ms):
                 health.record_latency(latency_ms, now_ms)
@@ -335,7 +344,8 @@
 
     def _group(self, endpoints: Sequence[Endpoint], now_ms: float) -> TargetGroup:
         """Return the cached group of this sequence object, or create it."""
-        # Each group references its endpoints, so that their `id` is not reused.
+        # Each cached group keeps a reference to its endpoints, so that their `id`,
+        # which is the key of the group, is not reused for another sequence.
         group = self._groups.get(id(endpoints))
         if group is not None:
             return group
--- a/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
@@ -14,13 +14,16 @@
 if TYPE_CHECKING:
     from ..routing import Endpoint
 
-# A target is used like any other while its failure rate is at most the mean rate of all
-# targets times this factor, plus this rate. A rate measured over ten calls varies by a
-# third of its value or more.
+# A target is used like any other while its failure rate is at most the mean failure
+# rate of all targets times `TOLERATED_FAILURE_FACTOR`, plus `TOLERATED_FAILURE_RATE`.
+# The tolerance is needed because a rate measured over ten calls varies by a third of
+# its value or more.
 TOLERATED_FAILURE_FACTOR: Final = 1.5
 TOLERATED_FAILURE_RATE: Final = 0.05
-# How failures above that rate count: a target that fails another tenth of its calls is
-# used like one that is half as quick and half full.
+# By how much failures above the tolerated rate lengthen the expected wait: the excess
+# rate times `FAILURE_FACTOR` multiplies the wait, and the excess rate times
+# `FAILURE_WAIT` is added. A target that fails a further tenth of its calls is used like
+# a target that is half as quick and half full.
 FAILURE_FACTOR: Final = 8.0
 FAILURE_WAIT: Final = 4.0
 
--- a/packages/pepperstair-core/pepperstair_core/calls/fleet_budget.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fleet_budget.py
@@ -8,12 +8,13 @@
 
 from msgspec import Struct
 
-# The share of the budget that is used. The windows of the daemons are not aligned, and
-# the successor of a crashed daemon does not know what its predecessor has used.
+# Share of the retry budget that the daemons use. The remainder is a margin, because the
+# windows of the daemons are not aligned and the successor of a crashed daemon does not
+# know what its predecessor has used.
 USED_SHARE: Final = 0.75
-# The share of a daemon's part that each priority may use. The remainder is reserved
-# for more urgent calls, which a burst of refused less urgent calls would otherwise
-# leave without a budget.
+# Share of a daemon's part of the retry budget that calls of each priority may use. The
+# remainder is reserved for more urgent calls; without the reserve, a burst of refused
+# less urgent calls would use up the budget.
 SHARE_OF_PRIORITY: Final = {"urgent": 1.0, "normal": 0.9, "deferrable": 0.7}
 _N_BUCKETS: Final = 20
 
--- a/packages/pepperstair-core/pepperstair_core/calls/pacing.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/pacing.py
@@ -13,15 +13,17 @@
 
 from typing import Final
 
-# The share of the link's rate that large answers may use. The remainder is for all
+# Maximum share of the link's rate that large answers may use. The remainder is for all
 # other traffic, such as small answers, requests and the overhead of the streams.
 _LARGE_ANSWER_SHARE: Final = 0.85
-# A small answer waits for one or two parts, which is acceptable for look-ups of 40 ms.
-# Each part wakes up both daemons, so shorter parts would use more processor time.
+# Transfer time on the link of one part of a large answer. A small answer waits for one
+# or two parts, which is acceptable for look-ups of 40 ms. Each part wakes up both
+# daemons, so shorter parts would use more processor time.
 _PART_MS: Final = 30.0
 _PART_MIN_BYTES: Final = 4_096
-# Links that carry the largest part within this time need no pacing: a small answer
-# hardly waits there, and larger parts wake up the daemons less often.
+# A link that transfers a part of the maximum size within this time needs no pacing: a
+# small answer hardly waits there, and parts of the maximum size wake up the daemons
+# less often than smaller ones.
 _FAST_PART_MS: Final = 5.0
 _BYTES_PER_MS_OF_MBPS: Final = 125.0
 
--- a/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
@@ -18,18 +18,19 @@
 
 # Crashes after which a request is quarantined from every target.
 N_CRASHES_MAX: Final = 3
-# From this number of crashes on, a request does not run concurrently with other
-# suspects on a target, so that the next crash identifies the one that caused it.
+# Number of crashes from which on a request does not run concurrently with other
+# suspects on a target, so that the next crash identifies the request that caused it.
 N_CRASHES_ISOLATED: Final = 2
-# Duration of the first quarantine; doubled with each further crash.
+# Duration of the first quarantine of a request. Each further crash doubles it.
 QUARANTINE_MS: Final = 600_000
 QUARANTINE_MAX_MS: Final = 86_400_000
-# Time after the last crash for which the crashes count if they are too few for a
-# quarantine.
+# Time after the last crash of a request for which its crashes are remembered if they
+# are fewer than a quarantine requires.
 RECORD_KEPT_MS: Final = 600_000
 N_TRACKED_MAX: Final = 1024
-# With the 11th crash the quarantine reaches its maximum duration, so further crashes of
-# a request change nothing, and records have to fit into frames.
+# Maximum number of crash ids in the record of a request, so that records fit into
+# frames. Further crashes change nothing, because the quarantine reaches its maximum
+# duration with the 11th crash.
 N_CRASH_IDS_MAX: Final = 16
 
 
--- a/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
@@ -5,16 +5,18 @@
 import math
 from typing import Final
 
-# Weight of the newest answer in the typical latency of its route, which changes slowly
-# because it is the reference for single answers.
+# Weight of the newest answer in the typical latency of its route. The typical latency
+# has to change slowly because single answers are compared with it.
 TYPICAL_WEIGHT: Final = 0.05
-# Weight of the newest outcome in a route's failure rate, which covers about fifty calls
-# to all targets.
+# Weight of the newest outcome in a route's failure rate. With this weight, the rate
+# covers about the last fifty calls of the route, to all targets.
 FAILURE_RATE_WEIGHT: Final = 0.02
-# Consecutive errors eject a target if their probability, computed from the route's
-# failure rate over all targets, is below this. The failure rate is capped at
-# `FAILURE_RATE_MAX`, at which 66 consecutive errors eject a target. So even if nearly
-# all calls of the route fail, a target is ejected within seconds.
+# Consecutive errors eject a target only if so long a series is improbable: the
+# probability that it occurs by chance, computed from the route's failure rate over all
+# targets, must be below `CHANCE_STREAK_PROBABILITY_MAX`. For this computation the
+# failure rate is capped at `FAILURE_RATE_MAX`, at which 66 consecutive errors eject a
+# target. So even if nearly all calls of the route fail, a target is ejected within
+# seconds.
 CHANCE_STREAK_PROBABILITY_MAX: Final = 0.001
 FAILURE_RATE_MAX: Final = 0.9
 N_ROUTES_MAX: Final = 1_000
--- a/packages/pepperstair-core/pepperstair_core/calls/route_statistics.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_statistics.py
@@ -9,15 +9,19 @@
 
 N_ROUTES_MAX: Final = 1_000
 SIZE_WEIGHT: Final = 0.05
-# Each request moves the median by at most this share of its value.
+# Maximum change of a route's median timeout with each request, as a share of the
+# median.
 MEDIAN_STEP: Final = 0.02
-# A caller with a timeout below this share of the median has already waited for the
-# rest, or is another kind of caller; either way it is served after others.
+# Minimum share of the route's median timeout at which a request counts as a caller's
+# first attempt. With a shorter timeout, either the caller has already waited for the
+# difference to the median, or it is another kind of caller; in both cases its request
+# is served after others.
 REPEATED_TIMEOUT_SHARE: Final = 0.85
 # Weight of the newest call in the acceptance rate, which covers about thirty calls.
 ACCEPTED_WEIGHT: Final = 0.03
-# Retry time after a target with free slots has refused a call: about the back-off of
-# an attempt within the mesh, so that the answer can still be in time.
+# Minimum retry-after time of a call that a target with free slots has refused: about
+# the back-off between attempts within the mesh, so that the answer to the retry can
+# still be in time.
 RETRY_AFTER_MIN_MS: Final = 50.0
 RETRY_AFTER_MAX_MS: Final = 1_000
 
--- a/packages/pepperstair-core/pepperstair_core/calls/sampling.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/sampling.py
@@ -5,7 +5,8 @@
 import zlib
 from typing import Final
 
-# One in this many requests: enough to see typical requests, at a hundredth of the cost.
+# One in this many requests is logged: enough to see typical requests, at a hundredth of
+# the cost of logging all.
 SAMPLED_ONE_IN: Final = 100
 
 
--- a/packages/pepperstair-core/pepperstair_core/calls/service_times.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/service_times.py
@@ -9,17 +9,19 @@
 
 INITIAL_SERVICE_MS: Final = 10.0
 SERVICE_WEIGHT: Final = 0.1
-# Mean deviations added to the mean, as in the TCP retransmission timeout (Jacobson
-# 1988).
+# Number of mean deviations added to the mean service time to estimate the service time
+# of a call, as in the TCP retransmission timeout (Jacobson 1988).
 N_DEVIATIONS: Final = 3
-# Mean deviations added to a route's mean to estimate the service time of a call whose
-# answer is to be in time, and the share of the wanted time up to which they lengthen
-# the estimate. Under overload each call starts as late as allowed: with the mean alone,
-# about half of the answers come too late.
+# For a call whose answer is wanted within a given time, the service time is estimated
+# as the mean of the route plus `N_USEFUL_DEVIATIONS` mean deviations. The deviations
+# lengthen the estimate up to at most `USEFUL_WORK_SHARE` of the wanted time. Under
+# overload each call starts as late as allowed: with the mean alone as the estimate,
+# about half of the answers would come too late.
 N_USEFUL_DEVIATIONS: Final = 1.0
 USEFUL_WORK_SHARE: Final = 0.7
 # A call is short if it takes less than this share of the time of the target's longest
-# calls: refusing it would free too little time for one of those to be answered in time.
+# calls: refusing a short call would free too little time for one of the longest calls
+# to be answered in time.
 SHORT_SHARE: Final = 0.25
 # Factor by which the longest service time decays with each call: its half-life is 700
 # calls.
@@ -93,8 +95,9 @@
     def _record_route(self, route: str, service_ms: float) -> None:
         known = self._mean_ms_by_route
         if len(known) >= N_ROUTES_MAX and route not in known:
-            # Each version may replace routes, and entries of removed routes accumulate.
-            # The means of the current routes are soon measured again.
+            # Each version of the intent may replace routes, so entries of removed
+            # routes accumulate. The means of the current routes are soon measured
+            # again.
             known.clear()
             self._deviation_ms_by_route.clear()
         mean_ms = known.get(route, service_ms)
--- a/packages/pepperstair-core/pepperstair_core/calls/target_group.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_group.py
@@ -93,7 +93,8 @@
             health.seen_ms = now_ms
         used = [health for health in self._health if not health.is_ejected]
         latencies_ms = [health.latency_ms(now_ms) for health in used]
-        # Failures common to all targets are not the fault of one of them.
+        # Each target is compared with the mean failure rate, because failures common to
+        # all targets are not the fault of a single target.
         failure_rates = [health.failure_rate(now_ms) for health in used]
         return GroupStatistics(
             min(filter(None, latencies_ms), default=0.0),
--- a/packages/pepperstair-core/pepperstair_core/calls/target_health.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_health.py
@@ -18,11 +18,12 @@
 LATENCY_HALF_LIFE_MS: Final = 5_000
 # Weight of the newest outcome in the failure rate, which covers about ten calls.
 FAILURE_WEIGHT: Final = 0.1
-# With fewer failures the failure rate is taken as 0. A target whose calls fail
-# consecutively is ejected regardless of this limit.
+# Minimum number of recorded failures for a failure rate; with fewer failures the rate
+# is taken as 0. A target whose calls fail consecutively is ejected regardless of this
+# limit.
 N_FAILURES_MIN: Final = 8
-# Successes since the last failure after which earlier ejections no longer lengthen
-# the next one.
+# Number of successes since the last failure after which earlier ejections no longer
+# lengthen the next ejection.
 N_SUCCESSES_TO_FORGET: Final = 20
 
 _NEGLIGIBLE_RATE: Final = 0.01
@@ -190,7 +191,8 @@
         self.n_ejections += 1
         self.is_ejected = True
         self.is_probed = False
-        # The ejection accounts for these failures; after it, counting starts again.
+        # The ejection accounts for the failures recorded so far, so counting starts
+        # again after it.
         self._failure_rate = 0.0
         self._n_failures = 0
         self.ejected_until_ms = now_ms + period_ms
--- a/packages/pepperstair-core/pepperstair_core/membership/membership.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/membership.py
@@ -247,7 +247,8 @@
         )
 
     def _track_state(self, before: Member | None, member: Member, now_ms: int) -> None:
-        # The choice of neighbours does not depend on targets, which change most often.
+        # Neighbours are chosen again only if data on which the choice depends has
+        # changed. The choice does not depend on targets, which change most often.
         self._is_choice_due |= before is None or _edge_key(before) != _edge_key(member)
         if member.state is MemberState.SUSPECT:
             self._suspicions.start(member.vm, now_ms)
--- a/packages/pepperstair-core/pepperstair_core/shared_reading.py
+++ b/packages/pepperstair-core/pepperstair_core/shared_reading.py
@@ -34,23 +34,25 @@
 FIRST_READ_SHARE: Final = 0.6
 LAST_READ_SHARE: Final = 0.7
 LAST_READ_SPREAD_SHARE: Final = 0.1
-# Delay between the reads of consecutive ranks: about the time of a read and of its
-# propagation through the fleet.
+# Delay between the reads of daemons with consecutive ranks: about the time that a read
+# and the propagation of its result through the fleet take.
 READER_STEP_MS: Final = 100.0
 # Delay before the first read of a starting daemon, which may receive a neighbour's copy
-# in the meantime. The jitter lets one of the daemons that start together read first.
+# during the delay. The random part lets one of the daemons that start together read
+# before the others.
 START_DELAY_MIN_MS: Final = 100.0
 START_DELAY_SPREAD_MS: Final = 250.0
-# Time until a starting daemon knows all members, and so its rank.
+# Time after which a starting daemon is expected to know all members, and so its rank.
 MEMBERSHIP_SETTLE_MS: Final = 1_000.0
-# Time for which a daemon leaves watching to others after a failed read.
+# Time after a failed read during which a daemon is not a watcher and leaves the
+# watching to others.
 READ_FAILURE_HOLDOFF_MS: Final = 5_000.0
-# A confirmation is forwarded if it is newer than the last one by more than this share
-# of `max_age_ms`.
+# Minimum difference, as a share of `max_age_ms`, by which a confirmation must be newer
+# than the last one to be forwarded.
 FORWARD_SHARE: Final = 0.25
-# While the table is unavailable, this many daemons retry at the usual interval. All
-# others retry at an interval longer by this factor: the former notify them once the
-# table is available again.
+# While the table is unavailable, `N_FAST_RETRIERS` daemons retry at the usual interval.
+# All other daemons retry at an interval longer by `SLOW_RETRY_FACTOR`, because the fast
+# retriers notify them once the table is available again.
 N_FAST_RETRIERS: Final = 8
 SLOW_RETRY_FACTOR: Final = 3.0
 
--- a/packages/pepperstair-core/pepperstair_core/wire/codec.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/codec.py
@@ -44,7 +44,7 @@
         self._frame_max_bytes = frame_max_bytes
         self._decode = _frame_decoder().decode
         self._buffer = bytearray()
-        # Offset of the buffer in the stream.
+        # Offset of the start of the buffer in the stream.
         self._n_decoded_bytes = 0
 
     def feed(self, data: bytes) -> Iterator[Any]:
--- a/packages/pepperstair-http/pepperstair_http/sockets.py
+++ b/packages/pepperstair-http/pepperstair_http/sockets.py
@@ -7,7 +7,8 @@
 from typing import Final
 
 # A peer that lost power or network access acknowledges nothing. By default, the kernel
-# would retransmit for a quarter of an hour; with these it gives up within seconds.
+# would retransmit for a quarter of an hour; with these settings it closes the
+# connection within seconds.
 _KEEPALIVE_IDLE_S: Final = 1
 _KEEPALIVE_INTERVAL_S: Final = 1
 _N_KEEPALIVE_PROBES: Final = 2
--- a/packages/pepperstair-peers/pepperstair_peers/data/client.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/client.py
@@ -31,7 +31,9 @@
         clock_ms: Callable[[], int],
     ) -> None:
         own_silence_ms = max(identity.silence_ms, N_SILENT_HEARTBEATS * heartbeat_ms)
-        # What delays a heartbeat on the link delays a handshake too, but only once.
+        # Whatever delays a heartbeat on the link delays a handshake too, so the dial
+        # timeout is derived from the silence limit. It is shorter by one heartbeat
+        # because a handshake is delayed only once.
         dial_timeout_ms = own_silence_ms - heartbeat_ms
         self._dialler = Dialler(
             identity, StreamKind.DATA, frame_max_bytes, counters, dial_timeout_ms
@@ -95,8 +97,9 @@
 
     def _tick(self) -> None:
         now_ms = self._clock_ms()
-        # After a pause of this process, answers are still buffered in the kernel.
-        # Checking the streams for silence before reading would replace all of them.
+        # After a pause of this process, answers are still buffered in the kernel. If
+        # the streams were checked for silence before these answers are read, all
+        # streams would appear silent and be replaced.
         is_late_tick = now_ms - self._last_tick_ms > self._heartbeat_ms
         self._last_tick_ms = now_ms
         for address, link in list(self._links.items()):
--- a/packages/pepperstair-peers/pepperstair_peers/data/link.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/link.py
@@ -34,8 +34,9 @@
 _N_IDLE_HEARTBEATS: Final = 60
 _N_COMPLETED_IDS_MAX: Final = 4096
 # An idempotent call on a silent stream is recovered only if its initial `time_left_ms`
-# exceeds this. Recovery by three dials, with the pauses between them, takes four to
-# five heartbeats, less than a quarter of such a call's time.
+# exceeds this number of heartbeat intervals. Recovery by three dials, with the pauses
+# between them, takes four to five intervals, less than a quarter of the time of such a
+# call.
 _N_URGENT_HEARTBEATS: Final = 20
 
 
@@ -230,9 +231,9 @@
             self.n_dropped_frames += 1
             return
         if isinstance(frame, (AnswerHead, CallFailed)):
-            # This load is newer than that of the last heartbeat. If targets were
-            # chosen by loads that are a second old, a target that has become full
-            # would receive a burst of calls.
+            # The load in this frame is newer than the load in the last heartbeat. If
+            # targets were chosen by loads that are a second old, a target that has
+            # become full would receive a burst of calls.
             load = Load(frame.n_in_flight, frame.n_queued)
             self.loads[call.head.target] = load
         if self._resend_undelivered(call, frame):
--- a/packages/pepperstair-platform/pepperstair_platform/acceptance.py
+++ b/packages/pepperstair-platform/pepperstair_platform/acceptance.py
@@ -168,7 +168,8 @@
     key = change_key(attempt.request.change_id)
     found = await _read_row(attempt.platform, key, attempt.customer)
     if found.is_err():
-        # An earlier attempt with this change id may have changed the head.
+        # The outcome is unknown, because an earlier attempt with this change id may
+        # have changed the head.
         detail = found.unwrap_err().detail
         return Err(Failure(ErrorKind.CHANGE_OUTCOME_UNKNOWN, detail))
     committed = head_from_change(found.unwrap())
--- a/packages/pepperstair-targets/pepperstair_targets/crash_detection.py
+++ b/packages/pepperstair-targets/pepperstair_targets/crash_detection.py
@@ -13,8 +13,9 @@
 
 log = structlog.get_logger(__name__)
 
-# Delay before the probe. The connections of a process that exits close at the same
-# time, but this daemon sees them close one after another.
+# Delay before the probe that checks whether a target has exited. The connections of a
+# process that exits close at the same time, but this daemon sees them close one after
+# another.
 _CLOSE_DELAY_S: Final = 0.002
 # How long a probe connection must stay open. A listener that outlives its target
 # accepts connections and then closes them.
--- a/packages/pepperstair-targets/pepperstair_targets/pool.py
+++ b/packages/pepperstair-targets/pepperstair_targets/pool.py
@@ -16,16 +16,20 @@
 log = structlog.get_logger(__name__)
 
 CONNECT_TIMEOUT_S: Final = 1.0
-# A target on the same VM acknowledges within a millisecond. Half a second allows for
-# a pause of the target and is still short compared to the deadline of a call.
+# Maximum time for which data sent to a target may stay unacknowledged. A target on the
+# same VM acknowledges within a millisecond. Half a second allows for a pause of the
+# target and is still short compared to the deadline of a call.
 UNACKNOWLEDGED_MS: Final = 500
-# On the same VM, a connection is refused at once, even if the event loop is busy.
+# Timeout of a probe connection. On the same VM, a connection is refused at once, even
+# if the target's event loop is busy.
 _PROBE_TIMEOUT_S: Final = 0.1
-# Maximum idle time of a connection for a non-idempotent call. On a connection that the
-# target is just closing, the outcome of such a call would be unknown. Targets close
-# connections after some seconds without use.
+# Maximum idle time of a connection that is reused for a non-idempotent call. If the
+# target were just closing the connection, the outcome of the call would be unknown.
+# Targets close connections after some seconds without use.
 FRESH_IDLE_MAX_S: Final = 1.0
-# The idle timers of the target and of this daemon start at different moments.
+# Margin by which this daemon stops reusing a connection before the target's idle
+# timeout expires, because the idle timers of the target and of this daemon start at
+# different moments.
 _CLOSE_MARGIN_S: Final = 1.0
 _IDLE_MAX_S: Final = 60.0
 
--- a/packages/pepperstaird/pepperstaird/__main__.py
+++ b/packages/pepperstaird/pepperstaird/__main__.py
@@ -31,8 +31,9 @@
 def main() -> None:
     """Parse the arguments, run the daemon and exit with its exit code."""
     ignore_hangup()
-    # Not cyclopts, which the operators' command line uses: it would take 3 MB of
-    # the daemon's memory limit of 32 MB for two options.
+    # This parser is based on argparse, not on cyclopts, which the operators' command
+    # line uses: cyclopts would take 3 MB of the daemon's memory limit of 32 MB for two
+    # options.
     parser = _Parser(
         prog="pepperstaird",
         description="Run the pepperstair daemon on this VM.",
--- a/packages/pepperstaird/pepperstaird/crash_reports.py
+++ b/packages/pepperstaird/pepperstaird/crash_reports.py
@@ -20,8 +20,9 @@
 log = structlog.get_logger(__name__)
 
 _N_RECORDS_PER_FRAME_MAX: Final = 64
-# Records of this period are sent together: after a crash, each other request that was
-# running yields one more record when it is answered, which clears it of suspicion.
+# Time during which crash records are collected to be sent together. After a crash, each
+# other request that was running yields one more record when it is answered, because the
+# answer clears the request of suspicion.
 _BATCH_DELAY_S: Final = 0.05
 
 
--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -26,12 +26,13 @@
 log = structlog.get_logger(__name__)
 
 _PREFIX: Final = "departure/"
-# Announcements are delayed by seconds, so ten minutes cover all of them. A daemon
-# that writes a row deletes older ones of others.
+# Age after which the row of a departure is obsolete: announcements are delayed by
+# seconds, so none is still in transit after ten minutes. A daemon that writes a row
+# deletes the obsolete rows of other daemons.
 RETENTION_MS: Final = 600_000
 # Maximum time that the acknowledgement of a departure waits until its row is written,
-# and that the first announcement waits until the row is read. Targets wait a second
-# for the answer; to read or write a row takes some 20 ms.
+# and that the first announcement waits until the row is read. Targets wait a second for
+# the answer; reading or writing a row takes some 20 ms.
 WAIT_MAX_S: Final = 0.4
 
 
@@ -125,8 +126,8 @@
             log.info(Event.DEPARTURES_RESTORED, targets=names)
 
     async def _write(self) -> None:
-        # Read first: a restarted daemon would otherwise overwrite the departures that
-        # the earlier process wrote to the row.
+        # The row is read before it is written: otherwise a restarted daemon would
+        # overwrite the departures that the earlier process wrote to the row.
         await asyncio.shield(self._start_restore())
         oldest_ms = self._wall_ms() - RETENTION_MS
         departures = self._announcements.departures()
--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -68,7 +68,8 @@
         # The document in force, compressed, and its compressed delta by base version.
         self._compressed = b""
         self._compressed_deltas: dict[int, bytes] = {}
-        # Neighbours whose pull can't be answered yet, and the versions that they hold.
+        # Maps each neighbour whose pull can't be answered yet to the version that the
+        # neighbour holds.
         self._pending_pulls: dict[str, int] = {}
         self._announced_version = 0
         self._pulled_vm = ""
@@ -78,7 +79,8 @@
         # The newest version that neighbours announced, and the VMs to pull it from.
         self._newest_version = 0
         self._sources: list[str] = []
-        # Versions up to this one are not pulled again, as their document was rejected.
+        # Versions up to this one are not pulled again, because their document was
+        # rejected.
         self._rejected_version = 0
         self.position: int | None = None
         self.is_newest_known = True
--- a/packages/pepperstaird/pepperstaird/early_listening.py
+++ b/packages/pepperstaird/pepperstaird/early_listening.py
@@ -12,7 +12,8 @@
 import tomllib
 from typing import Final
 
-# The backlog of HttpServer, which takes over the socket but is not imported yet.
+# Equal to the backlog of HttpServer. HttpServer takes over the socket later but is not
+# imported yet.
 _BACKLOG: Final = 1024
 
 
--- a/packages/pepperstaird/pepperstaird/exposition.py
+++ b/packages/pepperstaird/pepperstaird/exposition.py
@@ -18,8 +18,8 @@
 
 _PREFIX: Final = "pepperstair_"
 _CONTENT_TYPE: Final = (b"content-type", b"text/plain; version=0.0.4")
-# Upper bounds of the buckets: from the duration of a call that never waits to the
-# longest timeouts in use, each about twice the previous one.
+# Upper bounds of the buckets of call durations, from the duration of a call that never
+# waits to the longest timeouts in use. Each bound is about twice the previous one.
 BUCKETS_S: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 15.0)
 
 
--- a/packages/pepperstaird/pepperstaird/follower.py
+++ b/packages/pepperstaird/pepperstaird/follower.py
@@ -35,26 +35,28 @@
 
 log = structlog.get_logger(__name__)
 
-# A watch whose answer was lost silently is renewed after this at the latest. The
-# durations are randomized, so that of a dozen daemons one renews its watch about
-# every second and notifies the others.
+# Maximum duration of a watch, after which a watch whose answer was lost silently is
+# renewed. The durations are randomized, so that of a dozen daemons one renews its watch
+# about every second and notifies the others.
 _WATCH_MAX_MS: Final = 10_000
 _WATCH_MIN_SHARE: Final = 0.6
-# The first watch after a read may be much shorter, as daemons that were killed
-# together read together. With watches of equal length, all of them would hang on a
-# store that stopped answering just then, and none would receive a new version for
-# the whole watch. Of six daemons, one renews its watch within 2.3 s on average.
+# Minimum duration of the first watch after a read, as a share of `_WATCH_MAX_MS`. It is
+# much shorter than that of later watches because daemons that were killed together also
+# read together. If a store stopped answering just after these reads, watches of equal
+# length would all hang, and no daemon would receive a new version for the whole watch.
+# With this share, one of six daemons renews its watch within 2.3 s on average.
 _FIRST_WATCH_MIN_SHARE: Final = 0.1
 # Exponential backoff with jitter after a failure, so that not all daemons query a
 # recovering store at once.
 _BACKOFF_MIN_S: Final = 0.1
 _BACKOFF_MAX_S: Final = 1.0
-# Pause after each answer: of versions in quick succession only the newest matters,
-# and each read of each daemon adds load to the store.
+# Minimum pause after each answer: of versions in quick succession only the newest
+# matters, and each read of each daemon adds load to the store.
 _PAUSE_MIN_S: Final = 0.4
-# On a slow link the pause is twice the transfer time of the answer, so that versions
-# in quick succession leave two thirds of the link to calls. Meanwhile neighbours send
-# them in compressed form. The pause is bounded, as a neighbour may be partitioned.
+# On a slow link the pause is `_PAUSE_TRANSFER_FACTOR` times the transfer time of the
+# answer, so that versions in quick succession leave two thirds of the link to calls.
+# During the pause, neighbours send the versions in compressed form. The pause is
+# bounded by `_PAUSE_MAX_S`, because the neighbours may be partitioned from this daemon.
 _PAUSE_TRANSFER_FACTOR: Final = 2.0
 _PAUSE_MAX_S: Final = 1.5
 # If the transfer of the document takes longer than this on the VM's link, the daemon
--- a/packages/pepperstaird/pepperstaird/member_rows.py
+++ b/packages/pepperstaird/pepperstaird/member_rows.py
@@ -86,10 +86,11 @@
 
     async def _run(self) -> None:
         if not self._is_first_start:
-            # Rows written before the restart hold the addresses of the others.
-            # Without them callers would find no target until the jitter below is over.
+            # Rows written before the restart contain the addresses of the other
+            # daemons. Without these addresses, callers would find no target until the
+            # jitter below is over.
             await self._discover_members()
-        # Jitter: daemons that start together would write all rows at once.
+        # The jitter keeps daemons that start together from writing all rows at once.
         await asyncio.sleep(self._rng.uniform(0, self._first_write_delay_max_s))
         retry_s = _RETRY_MIN_S
         while True:
--- a/packages/pepperstaird/pepperstaird/metrics.py
+++ b/packages/pepperstaird/pepperstaird/metrics.py
@@ -152,8 +152,9 @@
             try:
                 self.send()
             except Exception:
-                # An error in the counters of one component would silently end this
-                # task, and the VM's graphs would stop as if it were down.
+                # Without this handler, an error in the counters of one component would
+                # silently end this task, and the VM's graphs would stop as if it were
+                # down.
                 log.exception(Event.INTERNAL_ERROR)
 
     def _write_counters(self) -> None:
--- a/packages/pepperstaird/pepperstaird/proxying.py
+++ b/packages/pepperstaird/pepperstaird/proxying.py
@@ -33,7 +33,8 @@
         return table.endpoints(compiled.target_selector, compiled.customer)
 
     def load_of(endpoint: Endpoint) -> Load | None:
-        # Exact for local targets, else the last value reported by the remote daemon.
+        # The load of a local target is exact; that of a remote target is the last value
+        # reported by its daemon.
         if endpoint.vm == vm:
             return daemon.runner.load_of(endpoint.target.name)
         return daemon.call_client.load_of(endpoint.peer_address, endpoint.target.name)
--- a/packages/pepperstaird/pepperstaird/row_calls.py
+++ b/packages/pepperstaird/pepperstaird/row_calls.py
@@ -19,7 +19,8 @@
 
 _RETRY_MIN_S: Final = 0.1
 _RETRY_MAX_S: Final = 2.0
-# Rows that one daemon deletes at a time; the other daemons delete further ones.
+# Maximum number of obsolete rows that one daemon deletes at a time; the other daemons
+# delete further rows.
 _DELETE_BATCH_MAX: Final = 10
 
 
--- a/packages/pepperstaird/pepperstaird/running.py
+++ b/packages/pepperstaird/pepperstaird/running.py
@@ -52,7 +52,7 @@
         await daemon.start(callers_socket)
     except OSError as error:
         # An address is in use by another process or does not belong to this VM. The
-        # reason names it, so that the operator need not search a traceback.
+        # reason names the address, so that the operator need not search a traceback.
         log.error(Event.START_FAILED, reason=str(error))
         return EXIT_START_FAILED
     await stop_requested.wait()
