--- a/packages/pepperstair-callers/pepperstair_callers/request_body.py
+++ b/packages/pepperstair-callers/pepperstair_callers/request_body.py
@@ -12,9 +12,9 @@
 
 log = structlog.get_logger(__name__)
 
-# Bodies up to this size are read completely before the first attempt, so that a refused
-# call can be retried on another target. Larger bodies are streamed and can be sent
-# again only while nothing of them has been read.
+# Maximum size of a body that is read completely before the first attempt, so that a
+# refused call can be retried on another target. Larger bodies are streamed: once an
+# attempt has started to read such a body, the body can't be sent again.
 REPLAY_MAX_BYTES: Final = 65_536
 
 
--- a/packages/pepperstair-core/pepperstair_core/calls/admission.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/admission.py
@@ -19,9 +19,10 @@
 
 RETRY_AFTER_MIN_MS: Final = 10
 RETRY_AFTER_MAX_MS: Final = 5_000
-# Ageing: one in `AGED_GRANT_INTERVAL` grants goes to a less urgent call that has
-# waited for `AGED_AFTER_MS` or longer. The share is bounded because under overload
-# every deferrable call is old, and running all of them first would invert priorities.
+# Ageing: one in `AGED_GRANT_INTERVAL` grants goes to a less urgent call that has waited
+# for `AGED_AFTER_MS` or longer. The share of such grants is bounded because under
+# overload every deferrable call is old, and running all of them first would invert
+# priorities.
 AGED_GRANT_INTERVAL: Final = 10
 AGED_AFTER_MS: Final = 500.0
 # Maximum time that a late call is queued, as a share of the time between its arrival
@@ -290,8 +291,8 @@
         self._n_grants += 1
         filled = [queue for queue in self._queues.values() if queue]
         if self._n_grants % AGED_GRANT_INTERVAL == 0 and len(filled) > 1:
-            # Without this share, deferrable calls would never run while more urgent
-            # ones keep all slots busy, and a service that receives only deferrable
+            # Without these grants, deferrable calls would never run while more urgent
+            # calls keep all slots busy, and a service that receives only deferrable
             # calls, such as an archive, would appear to be down.
             oldest = min((q.oldest() for q in filled[1:]), key=lambda c: c.arrived_ms)
             if now_ms - oldest.arrived_ms >= AGED_AFTER_MS:
--- a/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
@@ -14,8 +14,8 @@
 
 from msgspec import Struct
 
-# Maximum debt of a customer whose calls took longer than the mean service time, in mean
-# service times.
+# Maximum debt of a customer, in mean service times. A call that takes longer than the
+# mean service time adds the excess to its customer's debt.
 DEBT_MAX: Final = 20.0
 
 Order = tuple[int, float]
--- a/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
@@ -11,12 +11,11 @@
 # Weight of the newest outcome in a route's failure rate. With this weight, the rate
 # covers about the last fifty calls of the route, to all targets.
 FAILURE_RATE_WEIGHT: Final = 0.02
-# Consecutive errors eject a target only if so long a series is improbable: the
-# probability that it occurs by chance, computed from the route's failure rate over all
-# targets, must be below `CHANCE_STREAK_PROBABILITY_MAX`. For this computation the
-# failure rate is capped at `FAILURE_RATE_MAX`, at which 66 consecutive errors eject a
-# target. So even if nearly all calls of the route fail, a target is ejected within
-# seconds.
+# Consecutive errors eject a target only if a series of this length is improbable: its
+# probability, computed from the route's failure rate over all targets, must be below
+# `CHANCE_STREAK_PROBABILITY_MAX`. For this computation the failure rate is capped at
+# `FAILURE_RATE_MAX`, at which 66 consecutive errors eject a target. So even if nearly
+# all calls of the route fail, a target is ejected within seconds.
 CHANCE_STREAK_PROBABILITY_MAX: Final = 0.001
 FAILURE_RATE_MAX: Final = 0.9
 N_ROUTES_MAX: Final = 1_000
--- a/packages/pepperstair-core/pepperstair_core/calls/route_statistics.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_statistics.py
@@ -13,9 +13,9 @@
 # median.
 MEDIAN_STEP: Final = 0.02
 # Minimum share of the route's median timeout at which a request counts as a caller's
-# first attempt. With a shorter timeout, either the caller has already waited for the
-# difference to the median, or it is another kind of caller; in both cases its request
-# is served after others.
+# first attempt. With a shorter timeout, the caller either has already waited for the
+# difference to the median or is of another kind; in both cases its request is served
+# after others.
 REPEATED_TIMEOUT_SHARE: Final = 0.85
 # Weight of the newest call in the acceptance rate, which covers about thirty calls.
 ACCEPTED_WEIGHT: Final = 0.03
--- a/packages/pepperstair-core/pepperstair_core/calls/service_times.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/service_times.py
@@ -23,7 +23,7 @@
 # calls: refusing a short call would free too little time for one of the longest calls
 # to be answered in time.
 SHORT_SHARE: Final = 0.25
-# Factor by which the longest service time decays with each call: its half-life is 700
+# Factor by which the longest service time decays with each call: it halves within 700
 # calls.
 LONGEST_KEPT_SHARE: Final = 0.999
 N_ROUTES_MAX: Final = 1_000
--- a/packages/pepperstair-core/pepperstair_core/distribution/in_force.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/in_force.py
@@ -53,10 +53,10 @@
 ) -> bool:
     n_required = _n_required(state)
     if now_ms - candidate.held_at_ms >= state.timing.holder_wait_max_ms:
-        # A daemon that is partitioned from most members would otherwise never apply
-        # its held version, as unreachable members are still listed as live. After
-        # the wait, no more holders are required than there are neighbours with an
-        # open stream.
+        # After the wait, no more holders are required than there are neighbours with an
+        # open stream. Otherwise a daemon that is partitioned from most members would
+        # never apply its held version, because unreachable members are still listed as
+        # live.
         n_required = min(n_required, len(state.fleet.neighbours))
     return _n_holders(state, customer, candidate) >= n_required
 
--- a/packages/pepperstair-core/pepperstair_core/intent.py
+++ b/packages/pepperstair-core/pepperstair_core/intent.py
@@ -17,8 +17,8 @@
 from .labels import is_label_name, iter_label_faults, parse_selector
 from .schema import Fault, Option, read_document
 
-# Limits on the size of a version, which bound the time for which reading a version
-# blocks the proxy's single thread.
+# Limits on the routes and services of a version. They bound the time for which reading
+# a version blocks the proxy's single thread.
 N_ROUTES_MAX: Final = 10_000
 N_SERVICES_MAX: Final = 500
 PRIORITIES: Final = ("urgent", "normal", "deferrable")
--- a/packages/pepperstair-core/pepperstair_core/shared_reading.py
+++ b/packages/pepperstair-core/pepperstair_core/shared_reading.py
@@ -23,14 +23,15 @@
 # Number of daemons that watch the table continuously.
 N_WATCHERS: Final = 2
 # Age of the last confirmation at which the first watcher ends its watch, as a share of
-# `bound_ms`. All other daemons rely on the confirmation that this answer gives.
+# `bound_ms`. All other daemons rely on the confirmation that the answer to this watch
+# contains.
 FIRST_WATCH_SHARE: Final = 0.45
-# Maximum duration of a watch of the other watchers, which deliver a version if the
-# watch of the first one hangs.
+# Maximum duration of a watch of the watchers other than the first one. They deliver a
+# version if the watch of the first watcher hangs.
 STANDBY_WATCH_MS: Final = 10_000.0
 # Ages of the last confirmation at which daemons other than the watchers read, as shares
-# of `bound_ms`. The first of them reads at `FIRST_READ_SHARE`; the last ones read at
-# `LAST_READ_SHARE` plus a random part of `LAST_READ_SPREAD_SHARE`.
+# of `bound_ms`. The first of these daemons reads at `FIRST_READ_SHARE`; the last ones
+# read at `LAST_READ_SHARE` plus a random part of `LAST_READ_SPREAD_SHARE`.
 FIRST_READ_SHARE: Final = 0.6
 LAST_READ_SHARE: Final = 0.7
 LAST_READ_SPREAD_SHARE: Final = 0.1
--- a/packages/pepperstair-http/pepperstair_http/connection.py
+++ b/packages/pepperstair-http/pepperstair_http/connection.py
@@ -21,7 +21,7 @@
 
 log = structlog.get_logger(__name__)
 
-# How long incoming data is read and discarded before the connection closes.
+# Time for which incoming data is read and discarded before the connection closes.
 _DISCARD_S: Final = 1.0
 
 
--- a/packages/pepperstair-peers/pepperstair_peers/data/link.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/link.py
@@ -226,8 +226,8 @@
             raise FrameError(f"unexpected {type(frame).__name__} on a data stream")
         call = self._calls.get(call_id)
         if call is None:
-            # This is a late answer to an abandoned call. Matching by id prevents
-            # it from being delivered as the answer to another call.
+            # This is a late answer to an abandoned call. Matching by id prevents the
+            # answer from being delivered to another call.
             self.n_dropped_frames += 1
             return
         if isinstance(frame, (AnswerHead, CallFailed)):
--- a/packages/pepperstair-platform/pepperstair_platform/coalescing.py
+++ b/packages/pepperstair-platform/pepperstair_platform/coalescing.py
@@ -28,7 +28,8 @@
         if self._read_task is None or self._read_task.done():
             reading = self._table.read_rows("")
             self._read_task = asyncio.get_running_loop().create_task(reading)
-        # Cancelling one caller must not cancel the shared read of the others.
+        # Cancelling one caller must not cancel the read that it shares with other
+        # callers.
         read = await asyncio.shield(self._read_task)
         return read.map(
             lambda rows: tuple(row for row in rows if row.key.startswith(prefix))
--- a/packages/pepperstair-targets/pepperstair_targets/crash_detection.py
+++ b/packages/pepperstair-targets/pepperstair_targets/crash_detection.py
@@ -17,8 +17,8 @@
 # process that exits close at the same time, but this daemon sees them close one after
 # another.
 _CLOSE_DELAY_S: Final = 0.002
-# How long a probe connection must stay open. A listener that outlives its target
-# accepts connections and then closes them.
+# Time for which a probe connection must stay open to prove that the target is running.
+# A listener that outlives its target accepts connections and then closes them.
 _PROBE_HOLD_S: Final = 0.02
 
 
@@ -76,8 +76,10 @@
         is_other_running = any(call.is_connected for call in self._running)
         if is_other_running and len(self._broken_calls) == 1:
             return False
-        # An open connection alone does not prove that the target is running: a silently
-        # lost connection appears open until it is used.
+        # An open connection alone does not prove that the target is running, because a
+        # silently lost connection appears open until it is used. So the target is
+        # probed even if another connection is open, but then the probe connection need
+        # not stay open.
         is_apparently_alive = is_other_running or self._pool.has_open
         return await self._pool.is_target_gone(
             0.0 if is_apparently_alive else _PROBE_HOLD_S
--- a/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
+++ b/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
@@ -15,8 +15,9 @@
 
 log = structlog.get_logger(__name__)
 
-# A VM runs only one target at a time, so the announcements still in transit come from a
-# few of its most recent targets, far fewer than 64.
+# Maximum number of departures that are remembered. A VM runs only one target at a time,
+# so the announcements still in transit come from a few of its most recent targets, far
+# fewer than 64.
 N_DEPARTURES_MAX: Final = 64
 # Maximum delay of an announcement in transit. The platform states that announcements
 # may be delayed by seconds.
--- a/packages/pepperstair-targets/pepperstair_targets/pool.py
+++ b/packages/pepperstair-targets/pepperstair_targets/pool.py
@@ -20,8 +20,8 @@
 # same VM acknowledges within a millisecond. Half a second allows for a pause of the
 # target and is still short compared to the deadline of a call.
 UNACKNOWLEDGED_MS: Final = 500
-# Timeout of a probe connection. On the same VM, a connection is refused at once, even
-# if the target's event loop is busy.
+# Timeout of a probe connection. A target on the same VM refuses a connection at once,
+# and the refusal is noticed in time even if this daemon's event loop is busy.
 _PROBE_TIMEOUT_S: Final = 0.1
 # Maximum idle time of a connection that is reused for a non-idempotent call. If the
 # target were just closing the connection, the outcome of the call would be unknown.
--- a/packages/pepperstair-targets/pepperstair_targets/target_call.py
+++ b/packages/pepperstair-targets/pepperstair_targets/target_call.py
@@ -119,10 +119,10 @@
             self._abort()
             raise self._timeout_error() from error
         except PepperstairError as error:
-            # A refusal is a complete answer, so its connection is reused. If it were
-            # closed, a target that refuses every second call would cost a new
-            # connection for each refusal: in one fleet, these were 1,500 of the 2,000
-            # connections opened in fifty seconds.
+            # A refusal is a complete answer, so its connection is reused. If the
+            # connection were closed, a target that refuses every second call would cost
+            # a new connection for each refusal: in one fleet, such connections were
+            # 1,500 of the 2,000 connections opened in fifty seconds.
             if error.failure.kind is ErrorKind.TARGET_REFUSED:
                 self.end()
             else:
@@ -159,7 +159,8 @@
                 reused.close()
         # A target's usual idle timeout may close a reused connection just as a request
         # is sent, so an idempotent call is sent again on a new connection. A
-        # non-idempotent call is not, as it may have run before the connection closed.
+        # non-idempotent call is not sent again, because it may have run before the
+        # connection closed.
         opened = await self._pool.open()
         try:
             return await self._send(opened, headers)
--- a/packages/pepperstaird/pepperstaird/counters.py
+++ b/packages/pepperstaird/pepperstaird/counters.py
@@ -162,7 +162,8 @@
         yield from self.frames
 
 
-# Counters by kind of frame. The name of each counter ends with the kind in lower case.
+# Counters by kind of frame: the name of each counter is one of these names followed by
+# the kind in lower case.
 FRAME_COUNTS: Final = (
     ("n_control_sent_frames", "Frames sent on control streams, by kind."),
     ("n_control_sent_bytes", "Bytes sent on control streams, by kind of frame."),
--- a/packages/pepperstaird/pepperstaird/crash_reports.py
+++ b/packages/pepperstaird/pepperstaird/crash_reports.py
@@ -158,7 +158,7 @@
     def _flush(self) -> None:
         self._timer = None
         pending, self._pending = self._pending, {}
-        # A record may have been evicted meanwhile.
+        # A record may have been evicted after it was added to the pending records.
         tracked = [
             fingerprint for fingerprint in pending if fingerprint in self._quarantine
         ]
--- a/packages/pepperstaird/pepperstaird/daemon.py
+++ b/packages/pepperstaird/pepperstaird/daemon.py
@@ -68,7 +68,7 @@
 log = structlog.get_logger(__name__)
 
 _LEASE_CHECK_INTERVAL_S: Final = 0.25
-# Changes of members within this time are processed as one batch.
+# Time during which changes of members are collected to be processed as one batch.
 _MEMBER_BATCH_S: Final = 0.01
 
 
--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -35,8 +35,8 @@
 _PULL_DELAY_S: Final = 0.25
 # Number of versions whose documents are kept as bases of deltas.
 _N_RECENT_DOCUMENTS_MAX: Final = 3
-# Largest size of a delta as a share of the size of a full copy. If a delta is larger,
-# the full copy is sent, as the delta would save too little.
+# Maximum size of a delta as a share of the size of a full copy. If a delta is larger,
+# the full copy is sent, because the delta would save too little.
 _DELTA_MAX_SHARE: Final = 0.5
 
 
@@ -268,8 +268,9 @@
             self._rejected_version = self._newest_version
         if result is not OfferResult.IN_FORCE:
             return
-        # This is the newest version up to the neighbour's position in the table's
-        # history; a watch from an earlier position would return this version again.
+        # This document is the newest version up to the neighbour's position in the
+        # table's history. The position is adopted because a watch from an earlier
+        # position would return this version again.
         self._advance_position(frame.position)
         if frame.age_ms >= 0:
             self.confirm(frame.position, boot_ms() - frame.age_ms, vm)
--- a/packages/pepperstaird/pepperstaird/logs.py
+++ b/packages/pepperstaird/pepperstaird/logs.py
@@ -14,9 +14,9 @@
 
 log = structlog.get_logger(__name__)
 
-# A healthy daemon writes a few lines per second, and one or two for each failed call.
-# Above this rate, further lines carry no new information, and writing them would take
-# CPU time from the calls.
+# Limits on the rate of log lines. A healthy daemon writes a few lines per second, and
+# one or two for each failed call. Above this rate, further lines carry no new
+# information, and writing them would take CPU time from the calls.
 LINES_PER_S: Final = 200
 LINES_BURST: Final = 1_000
 _STDOUT_DESCRIPTOR: Final = 1
--- a/packages/pepperstaird/pepperstaird/metrics.py
+++ b/packages/pepperstaird/pepperstaird/metrics.py
@@ -22,7 +22,7 @@
 log = structlog.get_logger(__name__)
 
 _PREFIX: Final = "pepperstair"
-# Below the smallest MTU in use, so that no datagram is fragmented.
+# This limit is below the smallest MTU in use, so that no datagram is fragmented.
 DATAGRAM_MAX_BYTES: Final = 1400
 _COUNTER_UNIT: Final = "count since the last sending"
 
--- a/packages/pepperstaird/pepperstaird/stopping.py
+++ b/packages/pepperstaird/pepperstaird/stopping.py
@@ -56,8 +56,8 @@
     await asyncio.sleep(min(_DEPARTURE_NOTICE_S, timeout_ms / 1000))
     while monotonic_ms() < deadline_ms:
         if not _has_calls_in_flight(daemon):
-            # The last answers may still be in the buffers of their connections;
-            # closing these now would truncate the answers.
+            # The last answers may still be in the buffers of their connections; closing
+            # the connections now would truncate the answers.
             await asyncio.sleep(_FLUSH_S)
             return
         await asyncio.sleep(_DRAIN_CHECK_INTERVAL_S)
