--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -35,8 +35,8 @@
 _PULL_DELAY_S: Final = 0.25
 # Number of versions whose documents are kept as bases of deltas.
 _N_RECENT_DOCUMENTS_MAX: Final = 3
-# Largest size of a delta as a share of the size of a full copy. If a delta is larger,
-# the full copy is sent, as the delta would save too little.
+# Maximum size of a delta as a share of the size of a full copy. If a delta is larger,
+# the full copy is sent, because the delta would save too little.
 _DELTA_MAX_SHARE: Final = 0.5
 
 
@@ -68,7 +68,8 @@
         # The document in force, compressed, and its compressed delta by base version.
         self._compressed = b""
         self._compressed_deltas: dict[int, bytes] = {}
-        # Neighbours whose pull can't be answered yet, and the versions that they hold.
+        # Maps each neighbour whose pull can't be answered yet to the version that the
+        # neighbour holds.
         self._pending_pulls: dict[str, int] = {}
         self._announced_version = 0
         self._pulled_vm = ""
@@ -78,7 +79,8 @@
         # The newest version that neighbours announced, and the VMs to pull it from.
         self._newest_version = 0
         self._sources: list[str] = []
-        # Versions up to this one are not pulled again, as their document was rejected.
+        # Versions up to this one are not pulled again, because their document was
+        # rejected.
         self._rejected_version = 0
         self.position: int | None = None
         self.is_newest_known = True
@@ -266,8 +268,9 @@
             self._rejected_version = self._newest_version
         if result is not OfferResult.IN_FORCE:
             return
-        # This is the newest version up to the neighbour's position in the table's
-        # history; a watch from an earlier position would return this version again.
+        # This document is the newest version up to the neighbour's position in the
+        # table's history. The position is adopted because a watch from an earlier
+        # position would return this version again.
         self._advance_position(frame.position)
         if frame.age_ms >= 0:
             self.confirm(frame.position, boot_ms() - frame.age_ms, vm)
--- a/packages/pepperstaird/pepperstaird/metrics.py
+++ b/packages/pepperstaird/pepperstaird/metrics.py
@@ -22,7 +22,7 @@
 log = structlog.get_logger(__name__)
 
 _PREFIX: Final = "pepperstair"
-# Below the smallest MTU in use, so that no datagram is fragmented.
+# This limit is below the smallest MTU in use, so that no datagram is fragmented.
 DATAGRAM_MAX_BYTES: Final = 1400
 _COUNTER_UNIT: Final = "count since the last sending"
 
@@ -152,8 +152,9 @@
             try:
                 self.send()
             except Exception:
-                # An error in the counters of one component would silently end this
-                # task, and the VM's graphs would stop as if it were down.
+                # Without this handler, an error in the counters of one component would
+                # silently end this task, and the VM's graphs would stop as if it were
+                # down.
                 log.exception(Event.INTERNAL_ERROR)
 
     def _write_counters(self) -> None:
