--- a/packages/pepperstair-core/pepperstair_core/burn/counts.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/counts.py
@@ -116,8 +116,9 @@
     def _counter_of(self, customer: str) -> _CustomerCounter:
         """Return a customer's counter, or the shared one of customers over the limit.
 
-        Without the limit, documents for more and more new customers would make the
-        memory of every daemon grow until it is killed.
+        Without the limit on the number of customers, configuration documents for ever
+        more new customers would make the memory of every daemon grow until the daemon
+        is killed.
         """
         counter = self._customers.get(customer)
         if counter is not None:
@@ -193,7 +194,7 @@
 
 
 class _ConvergenceRing:
-    """Holds the newest convergences, with eight bytes each for time and duration."""
+    """Holds the newest convergences: for each, eight bytes of time and of duration."""
 
     def __init__(self) -> None:
         self._at_ms = array("q")
--- a/packages/pepperstair-core/pepperstair_core/burn/messages.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/messages.py
@@ -55,7 +55,11 @@
 
 
 class Convergence(Struct, frozen=True):
-    """One change: the time since it was in force everywhere, and how long it took."""
+    """One change that is in force everywhere: since when, and the time that it took.
+
+    `age_ms` is the time since the change was in force everywhere; `duration_ms` is the
+    time that the change took until then.
+    """
 
     age_ms: int
     duration_ms: int
--- a/packages/pepperstair-core/pepperstair_core/burn/report.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/report.py
@@ -47,7 +47,10 @@
 
 
 class PriorityBurn(Struct, frozen=True):
-    """The calls of one priority in one window; without calls, shares are None."""
+    """The calls of one priority in one window, with their shares and burn rate.
+
+    The shares are None if the window contains no calls.
+    """
 
     counts: CallCounts
     availability_percent: float | None
@@ -56,10 +59,10 @@
 
 
 class WindowBurn(Struct, frozen=True):
-    """One window over the fleet.
+    """The calls of the whole fleet in one window.
 
     `covered_percent` is the share of the window for which the daemons have been
-    running. The remainder to 100 is the gap left by restarts and by daemons that did
+    running. The remaining percentage is missing because daemons were restarted or did
     not answer.
     """
 
--- a/packages/pepperstair-core/pepperstair_core/calls/admission.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/admission.py
@@ -126,8 +126,8 @@
     ) -> list[Verdict]:
         """Free the slot of a call that ended and admit waiting calls.
 
-        `service_ms` is None if the call is no measure of the target's speed, for
-        example because its connection could not be opened.
+        `service_ms` is None if the call says nothing about the target's speed, for
+        example because the connection to the target could not be opened.
         """
         self.n_in_flight -= 1
         if service_ms is not None:
@@ -177,11 +177,11 @@
     def _refusal_cause(self, call: WaitingCall, now_ms: float) -> RefusalCause | None:
         """Return why a call must not be queued, or None if it may wait.
 
-        Under overload some calls have to be refused. If all were queued up to their
-        deadlines, the queue would remain that long and every answer would arrive
-        shortly before its deadline, when it has little value. A shorter queue, whose
-        calls can be answered in their wanted time, serves as many callers with the
-        same slots, and without that delay.
+        Under overload some calls have to be refused. If every call could wait until
+        its deadline, the queue would stay long and every answer would arrive shortly
+        before the deadline, when it has little value. A shorter queue, whose calls can
+        be answered in their wanted time, serves as many callers with the same slots,
+        and serves them without this delay.
         """
         is_late = self._is_late(call, now_ms)
         start_ms = self._expected_start_ms(call, now_ms, is_late)
@@ -194,14 +194,14 @@
     def _may_wait_until_deadline(self, call: WaitingCall) -> bool:
         """Return whether a call may wait past its wanted time, up to its deadline.
 
-        It may while less urgent calls arrive, as it is then assumed to be part of
-        another request: if a service builds a page, a late look-up is as useful as one
-        in time, and refusing it makes the whole page fail. The slots that it waits for
-        would otherwise run the less urgent calls.
+        A call may wait while less urgent calls arrive, because it is then assumed to
+        be part of another request: if a service builds a page, a late look-up is as
+        useful as a look-up in time, and refusing it makes the whole page fail. If the
+        call were refused, its slot would only run a less urgent call.
 
-        It may also wait if it takes a fraction of the time of other calls: refusing it
-        frees hardly any time for them, and such a short call is usually part of
-        another request.
+        A call may also wait if it takes a fraction of the time of other calls:
+        refusing it frees hardly any time for them, and such a short call is usually
+        part of another request.
         """
         if self._times.is_short(call):
             return True
@@ -230,7 +230,8 @@
     def _may_still_wait(self, call: WaitingCall, now_ms: float) -> bool:
         """Return whether a call that has just become late may stay queued.
 
-        It may if no other call waits, as it then takes a slot from no other call.
+        The call may stay if no other call waits, because no other call then needs the
+        slot.
         """
         if call.ticket in self._late or self._waiting:
             return False
@@ -299,9 +300,11 @@
         return filled[0].pop()
 
     def _order(self, call: WaitingCall, is_late: bool) -> Order:
-        """Return the sort key of a call: calls in time first, by latest start.
+        """Return the sort key of a call among the calls of its customer.
 
-        Calls without a wanted time are ordered by arrival.
+        Calls that can still be answered in their wanted time come before late ones;
+        both are ordered by the latest time at which they have to start. Calls without
+        a wanted time are ordered by arrival.
         """
         if call.wanted_ms == math.inf:
             return (0, call.arrived_ms)
@@ -326,10 +329,10 @@
     def _refuse(self, call: WaitingCall, cause: RefusalCause, now_ms: float) -> Refused:
         """Return the refusal of a call, with the time after which to retry.
 
-        This is the expected time until the queue is empty or, if that is longer, the
-        time for which the overload has lasted: an overload of seconds won't end within
-        a few hundred milliseconds, and a caller that is refused twice is worse off than
-        one that is given a realistic time.
+        The time is the longer of two: the expected time until the queue is empty, and
+        the time for which the overload has lasted. An overload of seconds won't end
+        within a few hundred milliseconds, and a caller that is refused twice is worse
+        off than a caller that is given a realistic time.
         """
         self._late.discard(call.ticket)
         if now_ms - self._last_refused_ms > OVERLOAD_GAP_MS:
--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -90,11 +90,12 @@
         """Return the endpoint for one call, or None if there is none.
 
         The call counts as in flight on the endpoint until `end` is called. The age of
-        a call in flight shows how slow its target is if the call did not wait long for
-        a slot: urgent calls hardly wait, and calls with an `objective_ms` wait only
-        for a short time. `n_answer_bytes` is the expected size of the answer, which
-        counts if it crosses zones. With `is_free_slot_required` only a target with a
-        free slot is returned.
+        a call in flight shows how slow its target is only if the call did not wait
+        long for a slot. It is therefore used for urgent calls, which hardly wait, and
+        for calls with an `objective_ms`, which wait only for a short time.
+        `n_answer_bytes` is the expected size of the answer, which makes targets of
+        other zones less preferred. With `is_free_slot_required`, the result is None
+        if the chosen target has no free slot, unless the call is a probe of it.
         """
         group = self._group(endpoints, now_ms)
         if not any(item.key not in excluded for item in endpoints):
@@ -267,7 +268,7 @@
         return {key for _, key in ejected[n_reused:]}, avoided
 
     def _drop_restored(self, now_ms: float) -> None:
-        """Drop the restrictions of targets that are in full use again."""
+        """Drop the restrictions of targets that are neither ejected nor avoided."""
         restored = [
             key
             for key, health in self._restricted.items()
@@ -288,10 +289,11 @@
 
         Traffic between zones is slow and billed. If the other zone has no free slot
         either, a call gains by crossing only if this zone is much fuller, and a call
-        with a large answer never does. A target of this zone that is slower than others
-        still answers in time while it is quick enough for the objective. Otherwise
-        calls would cross zones when only a third of its slots are in use: the target
-        would be mostly idle while every second call crosses zones.
+        with a large answer never gains by crossing. A target of this zone that is
+        slower than others, but quick enough for the objective, still answers in time,
+        so it is used while it has free slots. Without this rule calls would cross zones
+        when only a third of the target's slots are in use: the target would be mostly
+        idle while every second call crosses zones.
         """
         near, far = candidates
         if not near:
@@ -349,11 +351,11 @@
     def _track_new(self, endpoints: Sequence[Endpoint], now_ms: float) -> None:
         """Start tracking the health of new targets.
 
-        If none of a service's targets is known, or this daemon has just started, this
-        daemon is the new one and the targets are treated as warm. After a restart of
-        the whole fleet, targets are discovered one by one: with a slow start of all but
-        the first, it alone would get nearly all calls for ten seconds and queue them,
-        while the slots of the others stay free.
+        If none of a service's targets is known, or this daemon has just started, then
+        this daemon is new and not the targets, which are treated as warm. After a
+        restart of the whole fleet, targets are discovered one by one: if all but the
+        first target had a slow start, the first would get nearly all calls for ten
+        seconds and queue them, while the slots of the others stay free.
         """
         known = self._health
         missing = [item.key for item in endpoints if item.key not in known]
@@ -371,7 +373,8 @@
     def _evict_unseen(self, now_ms: float) -> None:
         """Evict targets that have not been among the endpoints for a while.
 
-        Targets are replaced continually, so keeping each would exhaust the memory.
+        Targets are replaced continually, so keeping every target that was ever seen
+        would exhaust the memory.
         """
         self._health = {
             key: health
--- a/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
@@ -42,7 +42,10 @@
     """
 
     def __call__(self, endpoint: Endpoint, *, is_speed_counted: bool = True) -> float:
-        """Return the wait; without `is_speed_counted`, as if all were equally fast."""
+        """Return the expected wait at an endpoint.
+
+        If `is_speed_counted` is False, all targets are treated as equally fast.
+        """
 
 
 def make_wait_of(
@@ -53,10 +56,11 @@
 ) -> WaitOf:
     """Return a function from an endpoint to its expected wait.
 
-    The unit is the answer time of the fastest target; up to 1 a slot is free. This
-    daemon's own calls are counted exactly. The load report, which may be a second
-    old, adds the calls of other daemons and never lowers this daemon's count. The
-    recorded latency makes the queue of a slow target count for more.
+    The unit is the answer time of the fastest target. A wait of up to 1 means that the
+    target has a free slot. This daemon's own calls are counted exactly. The load
+    report, which may be a second old, adds the calls of other daemons and never lowers
+    this daemon's count. The recorded latency makes the queue of a slow target count for
+    more.
     """
     fastest_ms = statistics.fastest_ms
     tolerated_rate = (
--- a/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fair_queue.py
@@ -1,8 +1,9 @@
 """Fair queueing between customers for calls that wait for a slot.
 
-Deficit round robin (Shreedhar and Varghese, 1995) with the cost of a call
-counted in mean service times: one is charged when the call is admitted, and the
-difference to its real duration when it has ended.
+Deficit round robin (Shreedhar and Varghese, 1995) in which the cost of a call is
+counted in mean service times. When a call is admitted, its customer is charged one mean
+service time; when the call has ended, the difference between its real duration and
+that mean is charged.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
 class WaitingCall(Struct, frozen=True):
     """A call that requests a slot; times are in milliseconds of one clock.
 
-    After `wanted_ms` its answer is worth less to the caller, after `deadline_ms`
-    nothing. Calls of one `route` take about the same time.
+    After `wanted_ms` the answer is worth less to the caller, and after `deadline_ms` it
+    is worth nothing. Calls of one `route` take about the same time.
     """
 
     ticket: int
@@ -39,14 +40,14 @@
 
 
 class _QueuedCall(Struct, frozen=True):
-    """The position of a call among those of its customer."""
+    """A waiting call and its position among the calls of its customer."""
 
     order: Order
     ticket: int
     call: WaitingCall
 
     def __lt__(self, other: _QueuedCall) -> bool:
-        """Return whether this call comes first."""
+        """Return whether this call comes before the other one."""
         return (self.order, self.ticket) < (other.order, other.ticket)
 
 
@@ -84,8 +85,8 @@
         """Remove and return the first call of the customer whose turn it is.
 
         A customer whose last call was removed stays in the rotation for one more
-        round; otherwise its next call would make it a new customer, which goes ahead
-        of all others.
+        round. Otherwise its next call would make it a new customer, and a new customer
+        gets the next turn, ahead of all others.
         """
         while True:
             customer = self._turns.popleft()
@@ -102,7 +103,7 @@
                 return queue.pop(0).call
 
     def charge(self, customer: str, cost: float) -> None:
-        """Charge a customer the cost of a call beyond one mean service time."""
+        """Charge a customer for the cost of a call beyond one mean service time."""
         if customer in self._deficits:
             deficit = self._deficits[customer] - cost
             self._deficits[customer] = max(-DEBT_MAX, min(0.0, deficit))
--- a/packages/pepperstair-core/pepperstair_core/calls/fingerprint.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fingerprint.py
@@ -11,9 +11,9 @@
 def fingerprint(method: str, host: str, path: str, service: str, body: bytes) -> bytes:
     """Return a short digest of the request that a target is to run.
 
-    `service` is that of the caller, `path` includes the query, `body` may be the
-    beginning of a larger one. Requests with equal fingerprints do the same work, so
-    the effect of one of them on its target predicts that of the others.
+    `service` is the caller's service, `path` includes the query string, and `body` may
+    be only the beginning of the request's body. Requests with equal fingerprints do the
+    same work, so if one of them crashes its target, the others are likely to do so too.
 
     >>> first = fingerprint("GET", "maps.example", "/logs/1", "", b"")
     >>> first == fingerprint("GET", "maps.example", "/logs/1", "", b"")
--- a/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
@@ -2,7 +2,7 @@
 
 A request that crashes its target also crashes the next one that runs it. Each daemon
 counts, by fingerprint, the crashes anywhere in the fleet during which a request was
-running. Records merge to the same result in any order of arrival.
+running. Merging records gives the same result in whatever order they arrive.
 """
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
 class CrashRecord(ArrayRecord):
     """The crashes during which a request was running.
 
-    `cleared_ids` are the crashes that it can't have caused, because a target has
-    answered such a request since.
+    `cleared_ids` are the crashes that the request can't have caused, because a target
+    has answered a request with the same fingerprint since.
     """
 
     fingerprint: bytes
@@ -189,13 +189,18 @@
     def _is_expired(self, record: _Record, now_ms: float) -> bool:
         """Return whether the crashes are too old to count.
 
-        Crashes that are enough for a quarantine count until they are cleared.
+        The crashes of a request that has enough of them for a quarantine count until
+        they are cleared, however old they are.
         """
         is_quarantined = record.n_crashes >= N_CRASHES_MAX
         return not is_quarantined and now_ms >= record.crashed_ms + RECORD_KEPT_MS
 
     def _evict_if_full(self, now_ms: float) -> None:
-        """Evict one record if full: the oldest one, quarantined requests last."""
+        """Evict one record if the limit on tracked requests is reached.
+
+        The record whose last crash is the oldest is evicted; records of quarantined
+        requests are evicted only if there are no others.
+        """
         if len(self._records) < self._n_tracked_max:
             return
         self._records.pop(
--- a/packages/pepperstair-core/pepperstair_core/calls/retry.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/retry.py
@@ -48,8 +48,8 @@
 class Attempt(Struct, frozen=True):
     """A failed attempt and the limits that apply to another one.
 
-    `earlier_run` is whether the call ran in the attempts before this one, and
-    `has_arrived` whether it may have reached a target in any attempt.
+    `earlier_run` states whether the call ran in the attempts before this one, and
+    `has_arrived` whether the call may have reached a target in any attempt.
     """
 
     failure: Failure
@@ -67,7 +67,8 @@
         """Return whether the call ran in any attempt.
 
         A refusal of the last attempt proves nothing about an earlier attempt whose
-        answer was lost: reporting `no` could make the caller book a second time.
+        answer was lost: reporting `no` could make the caller repeat, for example, a
+        booking.
         """
         if self.earlier_run is RunStatus.NO:
             return self.failure.run_status
@@ -95,12 +96,12 @@
     def take(self, priority: str, has_arrived: bool = True) -> bool:
         """Use up one retry and return whether one was available.
 
-        `has_arrived` says whether the call may have reached a target before.
+        `has_arrived` states whether an earlier attempt may have reached a target.
         """
 
 
 class TokenRetryBudget:
-    """A token bucket that calls fill and retries drain, counted in percent of a retry.
+    """A token bucket that calls fill and retries drain, in hundredths of a retry.
 
     >>> budget = TokenRetryBudget()
     >>> budget.take("urgent")
--- a/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
@@ -67,8 +67,8 @@
         """Return how many consecutive errors eject a target, at least `n_errors`.
 
         If a downstream service fails, all targets fail most calls and each soon has
-        some consecutive errors. Ejecting them one after the other would leave the rest
-        with more calls than slots, although none of them is at fault.
+        some consecutive errors. Ejecting them one after the other would leave the
+        remaining targets with more calls than slots, although no target is at fault.
         """
         rate = self._failure_rates.get(route, 0.0)
         if rate <= 0.0:
--- a/packages/pepperstair-core/pepperstair_core/calls/route_statistics.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_statistics.py
@@ -50,9 +50,9 @@
 class CallerTimeouts:
     """The median timeout that the callers of a route request.
 
-    A caller that retries after a refusal requests its remaining time as the timeout.
-    Its answer is less likely to be in time, and serving it like a new call would make
-    new calls late too.
+    A caller that retries after a refusal requests its remaining time as the timeout,
+    which is shorter than the median. The answer to such a retry is less likely to be in
+    time, and serving the retry like a new call would make new calls late too.
 
     >>> timeouts = CallerTimeouts()
     >>> [timeouts.waited_ms("r", 800) for _ in range(3)]
@@ -86,11 +86,12 @@
 class AcceptanceRates:
     """The share of the calls to a service's targets that the targets accept.
 
-    A target that refuses calls although its slots are free does so by a rule of its
-    own rather than for lack of capacity, and the next attempt may be accepted. Waiting
-    a second would then waste the caller's time: if targets refuse every second call
-    for some seconds, callers get their answer within the wanted time far more often by
-    retrying at once. The lower the share, the longer the retry time.
+    A target that refuses calls although its slots are free applies a rule of its own
+    and does not lack capacity, so it may accept the next attempt. Waiting a second
+    before that attempt would waste the caller's time: if targets refuse every second
+    call for some seconds, callers get their answer within the wanted time far more
+    often by retrying at once. The lower the share of accepted calls, the longer the
+    time after which callers are asked to retry.
 
     >>> acceptance = AcceptanceRates()
     >>> acceptance.retry_after_ms("ledger")
--- a/packages/pepperstair-core/pepperstair_core/calls/sampling.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/sampling.py
@@ -1,4 +1,4 @@
-"""Sampling of the requests that are logged although nothing unusual happened."""
+"""Sampling of requests, which are then logged although nothing unusual happened."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-core/pepperstair_core/calls/target_group.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_group.py
@@ -72,10 +72,10 @@
         return self._statistics
 
     def candidates(self, excluded_sets: Sequence[Collection[TargetKey]]) -> Candidates:
-        """Return the targets of this and of other zones without the excluded ones.
+        """Return the targets of this zone and of other zones that are not excluded.
 
-        The sets are applied in order of importance; a set that would leave no target
-        is skipped.
+        The sets of excluded targets are applied in the given order, the most important
+        one first. A set that would leave no target is skipped.
         """
         near: Sequence[Endpoint] = self.near
         far: Sequence[Endpoint] = self.far
--- a/packages/pepperstair-core/pepperstair_core/calls/target_health.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_health.py
@@ -31,9 +31,9 @@
 class TargetHealth:
     """The health of one target as this daemon sees it.
 
-    Until `avoided_until_ms` the target gets calls only if no other one is usable. If
-    ejected, it gets one call as a probe from `ejected_until_ms` on. `seen_ms` is when
-    it was last among the endpoints.
+    Until `avoided_until_ms` the target gets calls only if no other target is usable.
+    An ejected target gets a single call as a probe from `ejected_until_ms` on.
+    `seen_ms` is the time at which the target was last among the endpoints.
     """
 
     __slots__ = (
@@ -121,7 +121,7 @@
             self._starts.append((now_ms, weight))
 
     def record_answer(self, start_ms: float) -> None:
-        """Stop timing a call whose answer head arrived; its body may take long."""
+        """Stop timing a call when its answer's head arrives; the body may take long."""
         for index, (started_ms, _) in enumerate(self._starts):
             if started_ms == start_ms:
                 del self._starts[index]
--- a/packages/pepperstair-core/pepperstair_core/distribution/actions.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/actions.py
@@ -27,13 +27,17 @@
 
 
 class ReadBucketTokens(Struct, frozen=True):
-    """Read all bucket tokens, each of which changes with any head of its bucket."""
+    """Read the tokens of all buckets.
+
+    A bucket's token changes whenever a head in the bucket changes.
+    """
 
 
 class ReadHeads(Struct, frozen=True):
     """Read the heads of one bucket, or of all buckets if `bucket` is None.
 
-    The answer repeats `number`, so that answers from before a pause can be ignored.
+    The answer repeats `number`, so that the answer to a read that was started before a
+    pause of this process can be ignored.
     """
 
     bucket: int | None
--- a/packages/pepperstair-core/pepperstair_core/distribution/anti_entropy.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/anti_entropy.py
@@ -23,7 +23,7 @@
 
 
 def request_versions(vm: str, has_known_floor: bool, number: int = 0) -> Actions:
-    """Request a neighbour's versions, even if they equal this daemon's."""
+    """Request a neighbour's versions, even if they equal those of this daemon."""
     yield Send(vm, HeadsDigest(b"", has_known_floor, number))
 
 
@@ -36,8 +36,8 @@
 ) -> Actions:
     """Answer a differing digest with the held versions, or process an answer.
 
-    For an answer, pull the versions that are newer at the sender and announce those
-    that are newer here.
+    To process an answer, pull the versions that are newer at the sender, and announce
+    the versions that are newer on this daemon.
     """
     if not frame.is_answer:
         digest = state.versions_digest()
@@ -63,10 +63,11 @@
 def query_holders_if_due(
     state: DistributionState, has_known_floor: bool, now_ms: int
 ) -> Actions:
-    """Request the versions of neighbours that block a candidate from going in force.
+    """Request the versions of neighbours that have not confirmed to hold a candidate.
 
-    A neighbour announces only once that it holds a version. If that frame is lost
-    with a broken stream, the version would stay held and never go in force.
+    A neighbour announces only once that it holds a version. If its announcement is lost
+    with a broken stream, this daemon would hold the version but, without this request,
+    never put it in force.
     """
     if now_ms < state.holder_query_due_ms:
         return
--- a/packages/pepperstair-core/pepperstair_core/distribution/applying.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/applying.py
@@ -136,9 +136,10 @@
     """Reject a body: keep the held version and report the cause.
 
     A corrupt body is fetched again after a backoff. An intact body that this daemon
-    can't parse stays unreadable, for example when the daemon is older than the one
-    that accepted the change: unless the rejection is remembered, every announcement
-    of a neighbour would start another pull.
+    can't parse, for example because the daemon that accepted the change runs newer
+    software, would be just as unreadable if it were fetched again. Its rejection is
+    therefore remembered: otherwise every announcement of a neighbour would start
+    another pull.
     """
     head = received.head
     state.counters.n_versions_rejected += 1
@@ -155,8 +156,9 @@
 def _keep_early_delta(customer: CustomerState, received: ReceivedDelta) -> None:
     """Keep a delta whose base is being pulled, to catch up without a second pull.
 
-    The customer may change while a full snapshot is being pulled. Without these
-    deltas the receiver would stay a version behind and pull forever.
+    The customer's configuration may change while a full snapshot is being pulled.
+    Without the deltas that arrive meanwhile, the receiver would stay a version behind
+    and pull forever.
     """
     customer.received_version = customer.held_version
     if len(customer.early_deltas) >= _N_EARLY_DELTAS_MAX:
--- a/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
@@ -60,9 +60,10 @@
     now_ms: int,
     first_inquiry_ms: int,
 ) -> AcknowledgementCollection:
-    """Start collecting acknowledgements of a version or any newer one.
+    """Start collecting acknowledgements of a version or of any newer version.
 
-    An existing collection of a newer version that is held here also covers this one.
+    If a collection already exists for the same version or for a newer one that this
+    daemon holds, return the existing collection, which also covers this version.
     """
     known = convergence.collections.get(customer)
     held_version = state.customer(customer).held_version
@@ -121,7 +122,10 @@
     frame: Acknowledge,
     now_ms: int,
 ) -> Actions:
-    """Count acknowledgements sent to this daemon; store others to forward together."""
+    """Count acknowledgements for this daemon; store those for other collectors.
+
+    The stored acknowledgements are forwarded together.
+    """
     if frame.collector == state.fleet.own_vm:
         collection = convergence.collections.get(frame.customer)
         if collection is not None and frame.version >= collection.version:
@@ -188,9 +192,10 @@
 def _inquire(
     collection: AcknowledgementCollection, state: DistributionState, now_ms: int
 ) -> Actions:
-    """Send an inquiry to the whole fleet, with exponential backoff and jitter.
+    """Send an inquiry to the whole fleet, and schedule the next one.
 
-    The backoff applies while a member remains missing.
+    Inquiries are repeated with exponential backoff and jitter for as long as a member
+    has not acknowledged the version.
     """
     collection.n_inquiries += 1
     wait_ms = state.timing.inquiry_ms * min(2**collection.n_inquiries, 32)
--- a/packages/pepperstair-core/pepperstair_core/distribution/floor.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/floor.py
@@ -39,12 +39,13 @@
 
     An answer is used only if the neighbour has determined its own floor at least once:
     otherwise daemons that restarted together, all without any version, would confirm
-    one another. This includes a neighbour that catches up after a pause, as its state
-    survived the pause; if its answer were ignored, it and a restarted daemon could wait
-    for each other forever.
+    one another. The answer of a neighbour that catches up after a pause is used too,
+    because the neighbour's state survived the pause; if the answer were ignored, the
+    neighbour and a restarted daemon could wait for each other forever.
 
-    `number` identifies the requests since the last start or pause: an answer that was
-    buffered during a pause would give an outdated floor.
+    `number` identifies the requests sent since the last start or pause. Answers with
+    another number are ignored, because an answer that was buffered during a pause would
+    give an outdated floor.
     """
 
     reached_by: FloorSource = FloorSource.NONE
@@ -124,8 +125,9 @@
 ) -> bool:
     """Return whether enough neighbours answered and all their versions are in force.
 
-    A subset of the neighbours is enough only after the full `floor_wait_ms`: the
-    two that answer first may be the two that lag.
+    Two answers are enough, but only after the full `floor_wait_ms`, so that more
+    neighbours can answer: the two neighbours that answer first may be the two whose
+    versions are out of date.
     """
     n_others = sum(1 for _ in state.fleet.live()) - 1
     n_needed = min(N_NEIGHBOURS_FOR_FLOOR, max(1, n_others))
--- a/packages/pepperstair-core/pepperstair_core/distribution/node.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/node.py
@@ -95,7 +95,7 @@
 
     @_decide.register
     def _(self, event: events.NeighbourDown, now_ms: int) -> Actions:
-        """Discard the neighbour's held versions: it may restart without any."""
+        """Discard the neighbour's held versions, because it may restart without any."""
         self.state.fleet.neighbours.discard(event.vm)
         self.floor.answers.pop(event.vm, None)
         for customer in self.state.customers.values():
--- a/packages/pepperstair-core/pepperstair_core/distribution/polling.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/polling.py
@@ -1,9 +1,9 @@
 """Polling of the platform by a few members of each zone.
 
 The live members with the highest rendezvous hash poll for their zone. There is no
-election and no lease: overlapping pollers cost a few extra reads, and a paused one
-is replaced once membership detects it. A poller sends small beacons (`PollerSign`)
-within its zone; a daemon that receives none reads the heads itself.
+election and no lease: overlapping pollers cost a few extra reads, and a paused poller
+is replaced once failure detection marks it as suspect. A poller sends small beacons
+(`PollerSign`) within its zone; a daemon that receives none reads the heads itself.
 """
 
 from __future__ import annotations
@@ -102,11 +102,12 @@
     heads: tuple[Head, ...],
     now_ms: int,
 ) -> Actions:
-    """Schedule pulls of versions newer than the received ones, neighbours first.
+    """Schedule pulls of the versions that are newer than the received ones.
 
-    A bucket token is stored only here, after the heads of its bucket were read: if it
-    were stored when the bucket tokens are read, a failed read of the heads would hide
-    the change until the next one.
+    The pulls try the neighbours first. A bucket token is stored only here, after the
+    heads of its bucket were read: if the token were stored when the bucket tokens are
+    read, a failed read of the heads would hide the change until the bucket changes
+    again.
     """
     for changed_bucket, token in polling.pending_tokens.items():
         if bucket in (None, changed_bucket):
@@ -164,10 +165,10 @@
 def _defer_fallback_read(
     polling: PollingState, state: DistributionState, now_ms: int
 ) -> None:
-    """Restart the beacon timeout; it is longer while pollers report an outage.
+    """Restart the beacon timeout, which is longer while pollers report an outage.
 
-    Otherwise all daemons would read at the same time throughout a platform outage, and
-    their reads would overload the platform while it recovers.
+    With the usual timeout, all daemons would read at the same time throughout a
+    platform outage, and their reads would overload the platform while it recovers.
     """
     timing = state.timing
     timeout_ms = timing.poller_timeout_ms
--- a/packages/pepperstair-core/pepperstair_core/distribution/serving.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/serving.py
@@ -58,7 +58,10 @@
 
 
 def _delta_chain(customer: CustomerState, held_version: int) -> list[Delta]:
-    """Return the deltas from a version to the held one, empty if one is missing."""
+    """Return the deltas from a version to the held one.
+
+    The list is empty if one of the deltas is missing or too large for one frame.
+    """
     by_base = {delta.base_version: delta for delta in customer.deltas}
     chain = []
     version = held_version
@@ -74,8 +77,8 @@
 def _expire_pulls(state: DistributionState, now_ms: int) -> None:
     """Free the capacity of pulls whose receivers have not answered in time.
 
-    A paused neighbour would otherwise occupy it forever, and after
-    `n_pulls_served_max` such neighbours every later pull would be declined.
+    A paused neighbour would otherwise occupy the capacity of its pull forever, and
+    after `n_pulls_served_max` paused neighbours every later pull would be declined.
     """
     for key, until_ms in list(state.served_pulls.items()):
         if now_ms >= until_ms:
--- a/packages/pepperstair-core/pepperstair_core/distribution/spreading.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/spreading.py
@@ -22,8 +22,8 @@
 ) -> Actions:
     """Push or announce the held version to every neighbour.
 
-    The sender also gets a `Have`, as it counts holders before it puts the version in
-    force.
+    The sender of the version also gets a `Have`, because it puts the version in force
+    only once it knows of enough other holders.
     """
     version = delta.head.version
     is_pushable = len(delta.patch) <= PART_MAX_BYTES
--- a/packages/pepperstair-core/pepperstair_core/errors.py
+++ b/packages/pepperstair-core/pepperstair_core/errors.py
@@ -116,8 +116,8 @@
 class Failure(Struct, frozen=True):
     """One error: its kind, its subject and when to retry.
 
-    `run` replaces the table's default where the daemon has more precise knowledge;
-    None means the default. `retry_after_ms` is 0 if no delay is suggested.
+    `run` replaces the table's default if the daemon has more precise knowledge; None
+    stands for the default. `retry_after_ms` is 0 if no delay is suggested.
     """
 
     kind: ErrorKind
--- a/packages/pepperstair-core/pepperstair_core/following.py
+++ b/packages/pepperstair-core/pepperstair_core/following.py
@@ -50,9 +50,9 @@
 class FollowedDocumentState:
     """The document in force, whose version only increases, and the last rejected one.
 
-    A proxy that returned to an older version would send requests to services that the
-    operators have just moved them away from. If a document can't be parsed, the last
-    valid one stays in force as a whole.
+    If a proxy returned to an older version, it would send requests to services from
+    which the operators have just moved traffic away. If a document can't be parsed, the
+    last valid one stays in force as a whole.
     """
 
     def __init__(self, read: DocumentReader) -> None:
--- a/packages/pepperstair-core/pepperstair_core/intent.py
+++ b/packages/pepperstair-core/pepperstair_core/intent.py
@@ -45,7 +45,7 @@
 
 
 class Route(Struct, frozen=True):
-    """The service for requests with a host and path prefix, and their handling."""
+    """The handling and the service of requests with a given host and path prefix."""
 
     name: Annotated[str, Option("Name of the route, unique in the document.")]
     path_prefix: Annotated[str, Option("Path prefix that the route matches.")]
--- a/packages/pepperstair-core/pepperstair_core/members.py
+++ b/packages/pepperstair-core/pepperstair_core/members.py
@@ -28,7 +28,7 @@
 
 
 class TargetState(StrEnum):
-    """The state that a target announces of itself."""
+    """The state that a target announces for itself."""
 
     SERVING = "serving"
     DRAINING = "draining"
--- a/packages/pepperstair-core/pepperstair_core/membership/edges.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/edges.py
@@ -17,10 +17,10 @@
 class NeighbourEdges:
     """Tracks the wanted neighbours and the open control streams.
 
-    Of two daemons that want each other, the one with the lower name dials. The
-    other one dials after `dial_delay_ms`, as the member views of the two may differ
-    for a while. A stream to a daemon that is not wanted is closed after 4 times
-    that delay.
+    If two daemons choose each other as neighbours, the daemon with the lower name
+    dials. The other one dials only after `dial_delay_ms`, in case the first daemon has
+    a different view of the members and does not dial. A stream to a daemon that is no
+    wanted neighbour is closed after 4 times that delay.
     """
 
     def __init__(
--- a/packages/pepperstair-core/pepperstair_core/membership/liveness.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/liveness.py
@@ -27,8 +27,8 @@
     def restart(self, now_ms: int) -> None:
         """Restart the silence timers of all watched VMs.
 
-        A daemon that was paused has received nothing meanwhile. If it suspected its
-        neighbours for that, all of them would have to refute the suspicion.
+        A daemon receives nothing while it is paused. If it took this for silence of its
+        neighbours and suspected them, all of them would have to refute the suspicion.
         """
         self._received_at_ms = dict.fromkeys(self._received_at_ms, now_ms)
 
@@ -46,8 +46,8 @@
 class Suspicions:
     """Tracks the suspected members and when each one is declared gone.
 
-    Each daemon adds jitter to the timeout, so that the decision of the first one
-    reaches most of the others before their own timeout expires.
+    Each daemon adds jitter to the timeout, so that the decision of the first daemon
+    reaches most of the other daemons before their own timeouts expire.
     """
 
     def __init__(self, suspicion_ms: int, rng: Random) -> None:
--- a/packages/pepperstair-core/pepperstair_core/membership/membership.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/membership.py
@@ -123,8 +123,8 @@
     def fail(self, address: str, is_refused: bool, now_ms: int) -> Iterator[Action]:
         """Handle a failed dial.
 
-        A refused connection shows that no process listens there any more, seconds
-        before the missing heartbeats would.
+        A refused connection shows that no process listens at the address any more. The
+        member is then suspected seconds earlier than by its missing heartbeats.
         """
         self._edges.fail(address, now_ms)
         if not is_refused:
@@ -135,11 +135,11 @@
                 yield from self._declare_state(vm, MemberState.SUSPECT, now_ms)
 
     def mark_reached(self, address: str) -> None:
-        """Handle a successful dial whose stream is a duplicate and not used."""
+        """Handle a successful dial whose stream is a duplicate and therefore unused."""
         self._edges.mark_reached(address)
 
     def receive(self, vm: str, frame: Any, now_ms: int) -> Iterator[Action]:
-        """Handle a frame; one of any other kind only proves that the VM is alive."""
+        """Handle a received frame, which also proves that the VM is alive."""
         self._last_received.mark_received(vm, now_ms)
         if isinstance(frame, MemberUpdate):
             yield from self._merge_records(frame.members, vm, now_ms)
@@ -190,8 +190,9 @@
     def _check_liveness(self, now_ms: int) -> Iterator[Action]:
         """Replace silent streams and update the state of silent and suspect members.
 
-        A stream can fail silently while new ones work. Redialling one heartbeat
-        before the suspicion is due avoids a false suspicion in that case.
+        A stream can fail silently although a new stream to the same VM would work.
+        Closing and redialling it one heartbeat before the suspicion is due avoids a
+        false suspicion in that case.
         """
         suspect_ms = self._settings.heartbeat_ms * self._settings.n_heartbeats_missed
         redial_ms = max(suspect_ms - self._settings.heartbeat_ms, suspect_ms // 2)
--- a/packages/pepperstair-core/pepperstair_core/membership/outbox.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/outbox.py
@@ -20,15 +20,15 @@
 class MemberOutbox:
     """Queues the newest record of each member for each neighbour.
 
-    Each change is sent to a neighbour once, however many others have sent it to
-    this daemon in the meantime. Sending in rounds of limited size bounds the load
-    when many daemons join at once. Records beyond the limit stay in the queue, at
-    the cost of one reference per member and neighbour.
+    Each change is sent to a neighbour once, however many other neighbours have sent
+    the same change to this daemon in the meantime. Sending in rounds of limited size
+    bounds the load when many daemons join at once. Records beyond the limit stay in the
+    queue, at the cost of one reference per member and neighbour.
 
     A neighbour in another availability zone, for which `is_in_other_zone` returns
     True, gets only the ranks of changed records with the next `flush_ranks`, and
-    requests the records that it lacks. By then most of them have reached it within
-    its own zone.
+    requests the records that it lacks. By then most of the records have reached it
+    from neighbours in its own zone.
     """
 
     def __init__(
--- a/packages/pepperstair-core/pepperstair_core/membership/repair.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/repair.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: exchange of the member records that one of two daemons lacks.
+"""Anti-entropy: two daemons exchange the member records that one of them lacks.
 
 Flooding loses records if a stream breaks while they are in flight. Each daemon
 therefore compares digests with one random neighbour every few seconds. The cost
--- a/packages/pepperstair-core/pepperstair_core/membership/rows.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/rows.py
@@ -38,8 +38,8 @@
     ) -> Iterator[str]:
         """Yield the VMs whose rows are no longer written and may be deleted.
 
-        That is after `N_SWEEPS_UNTIL_DELETED` unchanged reads, unless the member is
-        still usable.
+        A row may be deleted once it was unchanged in `N_SWEEPS_UNTIL_DELETED`
+        consecutive reads, unless its member is still usable.
         """
         counts = {row: self._n_unchanged.get(row, 0) + 1 for row in rows}
         self._n_unchanged = counts
--- a/packages/pepperstair-core/pepperstair_core/shared_reading.py
+++ b/packages/pepperstair-core/pepperstair_core/shared_reading.py
@@ -4,9 +4,9 @@
 `N_WATCHERS` watch the table continuously. Each answer confirms that a version was the
 newest at that moment, and the daemons forward this confirmation to each other. Daemons
 whose last confirmation is too old read the table themselves, in the order of the
-ranking, so that usually a single read replaces a watch that hangs. There is no
-election: daemons whose member lists differ read slightly more often than needed, and
-never too rarely.
+ranking, so that a single read usually replaces the missing answer of a watch that
+hangs. There is no election: daemons whose member lists differ read slightly more often
+than needed, and never too rarely.
 """
 
 from __future__ import annotations
@@ -58,11 +58,11 @@
 class ReadSchedule:
     """Computes when this daemon next reads the table, from confirmations and failures.
 
-    `bound_ms` is the time in which a version has to be in force everywhere. `read_ms`
-    is the transfer time of a large document on the VM's link: a starting daemon whose
-    rank is not among the first `N_WATCHERS` delays its first read by it, in favour of
-    daemons with faster links. Times are milliseconds of one monotonic clock. `rank` is
-    the number of daemons ranked before this one as readers.
+    `bound_ms` is the time within which a version has to be in force everywhere.
+    `read_ms` is the transfer time of a large document on the VM's link: a starting
+    daemon that is not among the first `N_WATCHERS` delays its first read by this time,
+    so that daemons with faster links read first. Times are milliseconds of one
+    monotonic clock. `rank` is the number of daemons ranked before this one as readers.
 
     >>> schedule = ReadSchedule(2000.0, 0.0, Random(1))
     >>> schedule.confirm(5000.0)
@@ -89,7 +89,10 @@
 
     @property
     def max_age_ms(self) -> float:
-        """Return the age of a confirmation at which the first non-watcher reads."""
+        """Return the age of a confirmation at which the first other daemon reads.
+
+        Other daemons are those that do not watch the table.
+        """
         return FIRST_READ_SHARE * self.bound_ms
 
     @property
@@ -100,7 +103,8 @@
     def confirm(self, as_of_ms: float) -> bool:
         """Record that the version in force was the newest at `as_of_ms`.
 
-        Return whether this is enough newer than the last confirmation to be forwarded.
+        Return whether `as_of_ms` is so much later than the last confirmation that the
+        new one is worth forwarding.
         """
         newer_ms = as_of_ms - self.confirmed_ms
         self.confirmed_ms = max(self.confirmed_ms, as_of_ms)
@@ -120,7 +124,7 @@
         )
 
     def due_ms(self, rank: int, now_ms: float) -> float:
-        """Return the time of the next read, unless a confirmation arrives before."""
+        """Return the time of the next read if no confirmation arrives before then."""
         if not self.is_confirmed:
             return self._first_read_ms + (self._read_ms if rank >= N_WATCHERS else 0.0)
         if self.is_watcher(rank, now_ms):
@@ -139,8 +143,8 @@
     def watch_ms(self, rank: int, now_ms: float) -> int:
         """Return the duration of a watcher's next watch.
 
-        A watch of the first watcher ends when the next confirmation is due, even if it
-        starts after a pause or after another daemon's confirmation.
+        A watch of the first watcher ends when the next confirmation is due, even if the
+        watch starts after a pause or after a confirmation by another daemon.
         """
         if rank == 0:
             due_ms = self.confirmed_ms + FIRST_WATCH_SHARE * self.bound_ms
--- a/packages/pepperstair-core/pepperstair_core/versions.py
+++ b/packages/pepperstair-core/pepperstair_core/versions.py
@@ -126,7 +126,8 @@
     """Return the snapshot that a delta leads to, or the faults of the delta.
 
     Only the records that the delta sets are parsed: parsing a whole document of 2000
-    routes at every change would block the event loop for longer than a call may take.
+    routes at every change would block the event loop for longer than the time in which
+    a call has to be answered.
     The result is still validated as a whole.
     """
     head = delta.head
@@ -173,7 +174,11 @@
 
 
 def _list_patch(old: list, new: list, key: str) -> dict[str, Any]:
-    """Return the items to set and to remove, and the order of names if it changed."""
+    """Return the patch from an old list of items to a new one.
+
+    It contains the items to set, the names to remove, and the order of the names if the
+    order changed.
+    """
     if old == new:
         return {}
     before = {item[key]: item for item in old}
--- a/packages/pepperstair-core/pepperstair_core/wire/compression.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/compression.py
@@ -27,8 +27,8 @@
 def decompress(compressed: bytes) -> bytes | None:
     """Return the decompressed data, or None if it is damaged or too large.
 
-    The limit is above the size of anything that is sent. Without it, a few bytes
-    could decompress to more than the memory of the VM.
+    The limit exceeds the size of every value that daemons send. Without the limit, a
+    few bytes could decompress to more than the memory of the VM.
     """
     decompressor = zlib.decompressobj()
     try:
--- a/packages/pepperstair-core/pepperstair_core/wire/control.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/control.py
@@ -29,8 +29,8 @@
 
     `start_id` identifies the process and, unlike the incarnation, does not change
     while it runs: the outcome of a call may be queried only from the process that
-    accepted it. `sequence` rises with each stream that the process opens, and fences
-    the earlier ones.
+    accepted it. `sequence` rises with each stream that the process opens: once a data
+    stream is open, the receiver rejects data streams with a lower sequence.
     """
 
     protocol_version: int
@@ -44,8 +44,8 @@
 class Welcome(Frame, tag=2):
     """Replies to a Hello with the identity of the listening daemon.
 
-    Because its link may be slow, its streams may be silent for `silence_ms` before
-    they count as lost.
+    The dialling daemon must not treat the stream as lost before it has been silent for
+    `silence_ms`, because the listening daemon's link may be slow.
     """
 
     vm: str
@@ -85,7 +85,10 @@
 
 
 class SnapshotPart(Frame, tag=13):
-    """Carries a part of a full snapshot; in one piece it would block the stream."""
+    """Carries a part of a full snapshot.
+
+    A large snapshot in a single frame would block the stream for other frames.
+    """
 
     head: Head
     index: int
@@ -100,7 +103,7 @@
 
 
 class Busy(Frame, tag=15):
-    """Rejects a Pull for now and names other daemons to pull from."""
+    """Rejects a Pull for now, and names other daemons that hold the version."""
 
     customer: str
     retry_after_ms: int
@@ -122,9 +125,10 @@
     A request carries the digest without `versions`. If the digests differ, the
     receiver answers with its versions, and each side then pulls what it lacks. A
     request with an empty digest is always answered. `has_known_floor` is set if the
-    sender remembers which versions it held, unlike a daemon that has just started. An
-    answer repeats the `number` of its request, so that an answer which was buffered
-    while the requesting process was paused is recognised as stale.
+    sender has determined its floor at least once since its process started; a daemon
+    that has just started does not know which versions it held before. An answer repeats
+    the `number` of its request, so that an answer that was buffered while the
+    requesting process was paused is recognised as stale.
     """
 
     digest: bytes
@@ -137,8 +141,8 @@
 class Inquire(Frame, tag=18):
     """Requests that the fleet acknowledge a version to the collecting daemon.
 
-    Every daemon forwards it once. Acknowledgements return along the path on which it
-    was received.
+    Every daemon forwards the inquiry once. Acknowledgements return along the path on
+    which the inquiry was received.
     """
 
     collector: str
@@ -150,7 +154,7 @@
 class PollerSign(Frame, tag=19):
     """Beacon by which a poller shows its zone that it is alive.
 
-    `is_platform_reachable` is whether the platform answered its last poll. `number`
+    `is_platform_reachable` states whether the platform answered the last poll. `number`
     distinguishes the beacons of one poller, so that each is forwarded once.
     """
 
--- a/packages/pepperstair-core/pepperstair_core/wire/data.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/data.py
@@ -52,7 +52,7 @@
 
 
 class BodyEnd(Frame, tag=42):
-    """Marks a body as complete; a body without it was truncated."""
+    """Marks a body as complete; a body without this frame is truncated."""
 
     call_id: int
 
@@ -99,9 +99,9 @@
     """Queries the outcome of a call whose stream was lost.
 
     The receiver sends the stored response. If the call is still running, its response
-    follows on completion. Otherwise the receiver fails the call: as not run if the
-    call was never received and would be refused if it still arrived, and as unknown
-    in all other cases.
+    follows on completion. Otherwise the receiver fails the call. The failure states
+    that the call did not run if it was never received and would be refused if it still
+    arrived; in all other cases it states that the outcome is unknown.
     """
 
     call_id: int
