--- a/packages/pepperstair-core/pepperstair_core/burn/counts.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/counts.py
@@ -79,7 +79,7 @@
         self._customers: dict[str, _CustomerCounter] = {}
 
     def add(self, outcome: CallOutcome, now_ms: int) -> None:
-        """Count one call of urgent or normal priority."""
+        """Count one call, unless its priority is neither urgent nor normal."""
         first_counter = _FIRST_COUNTER_OF_PRIORITY.get(outcome.priority)
         outcome_class = classify_outcome(outcome)
         if first_counter is None or outcome_class is None or not outcome.customer:
--- a/packages/pepperstair-core/pepperstair_core/burn/report.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/report.py
@@ -31,7 +31,7 @@
 
 
 class AlertRule(Struct, frozen=True):
-    """A pair of windows and the burn rate that both must exceed for an alert."""
+    """Two windows, and the burn rate that must be exceeded in both for an alert."""
 
     name: str
     threshold: float
@@ -62,8 +62,8 @@
     """The calls of the whole fleet in one window.
 
     `covered_percent` is the share of the window for which the daemons have been
-    running. The remaining percentage is missing because daemons were restarted or did
-    not answer.
+    running. The difference to 100 is due to restarts and to daemons that did not
+    answer.
     """
 
     window_ms: int
@@ -83,7 +83,10 @@
 
 
 class ConvergenceBurn(Struct, frozen=True):
-    """The convergence of the changes in the longest window against its objective."""
+    """The times that the changes of the longest window took to be in force everywhere.
+
+    `n_late` is the number of changes that took longer than the objective.
+    """
 
     n_changes: int
     n_late: int
@@ -209,7 +212,10 @@
 
 
 def _budget_left_percent(longest: PriorityBurn) -> float:
-    """Return the error budget left by the counted calls; negative if overspent."""
+    """Return the error budget that remains after the counted calls.
+
+    The result is negative if more calls missed the objective than the budget permits.
+    """
     return 100 * (1 - longest.burn_rate)
 
 
--- a/packages/pepperstair-core/pepperstair_core/calls/admission.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/admission.py
@@ -144,9 +144,10 @@
     def expire(self, now_ms: float) -> list[Verdict]:
         """Refuse the calls that can no longer be answered in time.
 
-        They are refused as soon as that is certain rather than at their deadline, so
-        that the caller still has time to try another target. A call that has only
-        become late stays queued if no other call waits.
+        Calls are refused as soon as this is certain rather than at their deadline, so
+        that the caller still has time to try another target. A call that can still be
+        answered before its deadline, although not in its wanted time, stays queued if
+        no other call waits.
         """
         verdicts: list[Verdict] = []
         while (expiry_ms := self.next_expiry_ms) is not None and expiry_ms <= now_ms:
--- a/packages/pepperstair-core/pepperstair_core/calls/call_ends.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/call_ends.py
@@ -10,7 +10,7 @@
 
 
 class EndKind(Enum):
-    """How a call ended, in the terms of the target choice."""
+    """The ways in which a call can end that the target choice distinguishes."""
 
     GOOD = auto()
     ERROR = auto()
@@ -34,7 +34,7 @@
 
 
 class Ejection(Struct, frozen=True):
-    """An ejected target, with the figures of the decision."""
+    """An ejected target, with its consecutive errors and the period of the ejection."""
 
     key: TargetKey
     n_errors: int
--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -119,7 +119,7 @@
     def _make_is_quick(
         self, route: str, objective_ms: float, now_ms: float
     ) -> Callable[[Endpoint], bool]:
-        """Return a predicate for targets that are quick enough for a route."""
+        """Return a predicate for targets that are quick enough for the objective."""
         allowed_ms = QUICK_SHARE * objective_ms * self._latencies.scale(route)
 
         def is_quick(endpoint: Endpoint) -> bool:
@@ -246,8 +246,9 @@
     ) -> tuple[Collection[TargetKey], Collection[TargetKey]]:
         """Return the ejected targets, within the allowed share, and the avoided ones.
 
-        If targets have departed since, the ejected ones may exceed the allowed
-        share; those whose ejection ends first are then used again.
+        If other targets have departed since the ejections, the ejected targets may
+        exceed the allowed share. The targets whose ejections end first are then used
+        again.
         """
         if not self._restricted:
             return (), ()
@@ -336,7 +337,7 @@
         return one if wait_of(one) <= wait_of(other) else other
 
     def _group(self, endpoints: Sequence[Endpoint], now_ms: float) -> TargetGroup:
-        """Return the cached group of this sequence object, or create it."""
+        """Return the group of a sequence of endpoints; it is cached per object."""
         # Each group references its endpoints, so that their `id` is not reused.
         group = self._groups.get(id(endpoints))
         if group is not None:
--- a/packages/pepperstair-core/pepperstair_core/calls/fleet_budget.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fleet_budget.py
@@ -57,7 +57,7 @@
         self._n_retries = _Window()
 
     def add_call(self, percent: int) -> None:
-        """Count a call; `percent` is not used."""
+        """Count a call; `percent` is ignored because `terms` defines the limit."""
         self._n_calls.add(self._now_ms(), self._terms().window_ms)
 
     def take(self, priority: str, has_arrived: bool = True) -> bool:
--- a/packages/pepperstair-core/pepperstair_core/calls/pacing.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/pacing.py
@@ -30,8 +30,8 @@
     """Schedules the parts of all large answers of a VM on its link.
 
     `link_mbps` is the rate of the link in megabits per second, 0 if unknown; times
-    are in milliseconds. Parts are sent in the order of their requests, so that
-    concurrent answers share the link.
+    are in milliseconds. Parts are sent in the order in which `delay_ms` is called for
+    them, so that concurrent answers share the link.
 
     >>> pacer = LinkPacer(2.5, 65_536)
     >>> pacer.part_bytes
@@ -58,7 +58,7 @@
         return not self._bytes_per_ms or n_bytes <= self.part_bytes
 
     def delay_ms(self, n_bytes: int, now_ms: float) -> float:
-        """Reserve the link for the next part and return how long it has to wait."""
+        """Reserve the link for a part and return how long the part has to wait."""
         if not self._bytes_per_ms:
             return 0.0
         start_ms = max(now_ms, self._link_free_ms)
--- a/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
@@ -1,6 +1,6 @@
 """Quarantine of poison requests, which crash the targets that run them.
 
-A request that crashes its target also crashes the next one that runs it. Each daemon
+A request that crashes its target also crashes the next target that runs it. Each daemon
 counts, by fingerprint, the crashes anywhere in the fleet during which a request was
 running. Merging records gives the same result in whatever order they arrive.
 """
--- a/packages/pepperstair-core/pepperstair_core/calls/retry.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/retry.py
@@ -82,7 +82,7 @@
 
 
 class GiveUp(Struct, frozen=True):
-    """Answer with the failure at once."""
+    """Answer the caller with the failure at once."""
 
     cause: GiveUpCause
 
--- a/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
@@ -42,7 +42,7 @@
         return 1.0 if typical_ms is None else self._typical_overall_ms / typical_ms
 
     def record_latency(self, route: str, latency_ms: float) -> None:
-        """Update the typical latency with that of a good answer."""
+        """Update the typical latency of a route with the latency of a good answer."""
         if latency_ms <= 0.0:
             return
         if len(self._typical_ms) >= N_ROUTES_MAX and route not in self._typical_ms:
--- a/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/run_memory.py
@@ -70,7 +70,7 @@
 
 
 class RunState(Enum):
-    """What is known about a call."""
+    """The state of a call as far as this process knows it."""
 
     RUNNING = "running"
     ANSWERED = "answered"
@@ -80,7 +80,7 @@
 
 
 class LookupResult(Struct, frozen=True):
-    """What is known about a call, with its answer if that is kept."""
+    """The state of a call, with its answer if the answer is kept."""
 
     state: RunState
     answer: KeptAnswer | None = None
@@ -124,7 +124,8 @@
 
         `sequence` is the sequence number of the stream. A call that was reported as
         not run may be sent again on the stream on which it was looked up, or on a later
-        one; a head on an earlier stream is the delayed original.
+        stream. A call head on an earlier stream is the delayed original, which must not
+        run any more.
         """
         self._evict_expired(now_ms)
         run = self._runs.get(key)
@@ -159,7 +160,7 @@
             run.state = RunState.NOT_KEPT
 
     def look_up(self, key: CallKey, sequence: int, now_ms: int) -> LookupResult:
-        """Return the state of a call, and its answer if that is kept.
+        """Return the state of a call, and its answer if the answer is kept.
 
         A call that has not arrived is recorded as never run, because its head may
         still arrive on the lost stream and would run after it was reported to the
--- a/packages/pepperstair-core/pepperstair_core/calls/service_times.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/service_times.py
@@ -56,7 +56,7 @@
         self._record_route(route, service_ms)
 
     def is_short(self, call: WaitingCall) -> bool:
-        """Return whether a call takes a fraction of the time of the longest calls."""
+        """Return whether a call takes less than `SHORT_SHARE` of the longest time."""
         return self._typical_ms(call) < SHORT_SHARE * self.longest_ms
 
     def latest_useful_start_ms(self, call: WaitingCall) -> float:
--- a/packages/pepperstair-core/pepperstair_core/calls/target_health.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_health.py
@@ -76,8 +76,9 @@
     def slow_start_share(self, is_cold: bool, now_ms: float) -> float:
         """Return the share of its slots that a target is given during its slow start.
 
-        A target that has just started answers slowly. With its full share at once,
-        calls would queue behind its warm-up, which callers see as a latency spike.
+        A target that has just started answers slowly. If it got its full share of calls
+        at once, calls would queue until it has warmed up, and callers would see a
+        latency spike.
         """
         if is_cold:
             self._warm_since_ms = now_ms
--- a/packages/pepperstair-core/pepperstair_core/config/settings.py
+++ b/packages/pepperstair-core/pepperstair_core/config/settings.py
@@ -293,10 +293,10 @@
 
 
 def _iter_token_faults(operators: OperatorsSettings) -> Iterator[Fault]:
-    """Yield a fault if the operators' interface is open to other hosts.
+    """Yield a fault if the operators' interface is open to other hosts without a token.
 
     Without a token, anybody who reaches the port could change the routing of every
-    customer, and nobody would notice beforehand.
+    customer, and nobody would notice before it happened.
     """
     parsed = parse_address(operators.address)
     if parsed is None or operators.token:
--- a/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/convergence.py
@@ -1,8 +1,8 @@
 """Tracking of the members on which a version is in force.
 
 Acknowledgements travel back along the path on which a version, or an inquiry,
-arrived and are aggregated at each hop: the collecting daemon receives a few
-frames, not one for each member. If a return path breaks, an inquiry establishes a
+arrived. They are aggregated at each hop, so the collecting daemon receives a few
+frames instead of one for each member. If a return path breaks, an inquiry establishes a
 new one.
 """
 
@@ -35,7 +35,8 @@
     """The next hop for acknowledgements of one customer's versions to a collector.
 
     `is_acknowledged` is true once this daemon has acknowledged the version itself;
-    `unreported_vms` are acknowledgements not yet forwarded to `parent`.
+    `unreported_vms` are the VMs whose acknowledgements are not yet forwarded to
+    `parent`.
     """
 
     parent: str
--- a/packages/pepperstair-core/pepperstair_core/distribution/pulling.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/pulling.py
@@ -155,8 +155,9 @@
 ) -> str | None:
     """Return a neighbour to pull from, preferably one in this daemon's zone.
 
-    If no neighbour holds the wanted version, for example because its object is
-    corrupt, return one that holds any version newer than this daemon's.
+    If no neighbour holds the wanted version, for example because the version's object
+    in the store is corrupt, return a neighbour that holds any newer version than this
+    daemon.
     """
     versions = {
         vm: customer.holders.get(vm, 0)
--- a/packages/pepperstair-core/pepperstair_core/distribution/state.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/state.py
@@ -22,7 +22,7 @@
 
 
 class Timing(Struct, frozen=True):
-    """Intervals, timeouts and limits; the defaults suit the intended fleet."""
+    """Intervals, timeouts and limits; the defaults suit the intended fleet size."""
 
     pull_grace_ms: int = 150
     pull_timeout_ms: int = 1000
@@ -81,10 +81,10 @@
 class CustomerState(Struct):
     """One customer's versions on this daemon and on its neighbours.
 
-    `received_version` is the newest version received, possibly not applied yet.
-    `deltas` lead from older versions to the held one; the base of `early_deltas` is
-    not held yet. `holders` maps each member to the newest version it is known to
-    hold; `pruned` are the neighbours that get announcements instead of deltas.
+    `received_version` is the newest version received; it may not be applied yet.
+    `deltas` lead from older versions to the held one; `early_deltas` apply to versions
+    that are not held yet. `holders` maps each member to the newest version that it is
+    known to hold; `pruned` are the neighbours that get announcements instead of deltas.
     """
 
     customer: str
--- a/packages/pepperstair-core/pepperstair_core/membership/backoff.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/backoff.py
@@ -13,8 +13,8 @@
     """Tracks the failed dials of each address and when the next attempt is due.
 
     After a mass restart all daemons that kept running dial at once. Without jitter
-    they would retry in lockstep, each wave of dials making the next one fail, and some
-    daemons would still have no neighbours long after the last restart.
+    they would retry in lockstep, so that each wave of dials would make the next wave
+    fail, and some daemons would still have no neighbours long after the last restart.
     """
 
     def __init__(self, rng: Random) -> None:
--- a/packages/pepperstair-core/pepperstair_core/membership/directory.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/directory.py
@@ -122,7 +122,7 @@
 def _record_digest(member: Member) -> int:
     """Return the value that is XORed into the digest of the record's bucket.
 
-    Gone members contribute 0, as each daemon removes them at a different time.
+    Gone members contribute 0, because each daemon removes them at a different time.
     """
     if not member.is_usable:
         return 0
--- a/packages/pepperstair-core/pepperstair_core/routing.py
+++ b/packages/pepperstair-core/pepperstair_core/routing.py
@@ -44,7 +44,7 @@
 
     Only the weights decide. A destination without capacity refuses its requests
     rather than passing them to another split: an operator who tries a new version on
-    a tenth of the traffic must never see the remaining traffic go to it.
+    a tenth of the traffic must never see the remaining traffic go to the new version.
     """
     if not compiled.destinations:
         return compiled
@@ -59,9 +59,8 @@
 class RouteTable:
     """The routes of this proxy, matched by the longest prefix, and the policies.
 
-    A look-up costs one dictionary access per prefix of the request's path,
-    independent of the number of routes; the cost of a linear scan would grow with the
-    number of customers.
+    A look-up costs one dictionary access per prefix of the request's path, however many
+    routes there are. The cost of a linear scan would grow with the number of customers.
     """
 
     __slots__ = ("_by_host", "policies", "routes")
@@ -84,8 +83,8 @@
     def match(self, host: str, path: str) -> CompiledRoute | None:
         """Return the most specific route for a request, or None.
 
-        A route for the request's host takes precedence over one for all hosts, and
-        a longer prefix over a shorter one.
+        A route for the request's host takes precedence over a route for all hosts.
+        Among the routes for one host, the longest matching prefix takes precedence.
         """
         if host and host in self._by_host:
             found = _longest_prefix(self._by_host[host], path)
--- a/packages/pepperstair-core/pepperstair_core/wire/control.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/control.py
@@ -204,7 +204,7 @@
 
 
 class DocumentPull(Frame, tag=25):
-    """Requests the followed document, of which the receiver has a newer version."""
+    """Requests the followed document from a receiver that has a newer version."""
 
     held_version: int
 
--- a/packages/pepperstair-core/pepperstair_core/wire/data.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/data.py
@@ -22,10 +22,11 @@
 class CallHead(Frame, tag=40):
     """Opens a call with the head of the request and its handling parameters.
 
-    `time_left_ms` is relative, as the clocks of two VMs differ. If `has_body` is set,
-    `BodyPart` frames and a `BodyEnd` follow. `wanted_left_ms` is the remaining time
-    within which the response has its full value for the caller, negative if the route
-    defines none. `fingerprint` is equal for requests for the same work.
+    `time_left_ms` is relative because the clocks of two VMs differ. If `has_body` is
+    set, `BodyPart` frames and a `BodyEnd` follow. `wanted_left_ms` is the remaining
+    time within which the response has its full value for the caller; it is negative if
+    the route defines no such time. `fingerprint` is equal for requests for the same
+    work.
     """
 
     call_id: int
