--- a/packages/pepperstair-core/pepperstair_core/burn/counts.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/counts.py
@@ -79,7 +79,7 @@
         self._customers: dict[str, _CustomerCounter] = {}
 
     def add(self, outcome: CallOutcome, now_ms: int) -> None:
-        """Count one call, unless its priority is neither urgent nor normal."""
+        """Count one call if its priority is urgent or normal."""
         first_counter = _FIRST_COUNTER_OF_PRIORITY.get(outcome.priority)
         outcome_class = classify_outcome(outcome)
         if first_counter is None or outcome_class is None or not outcome.customer:
@@ -116,9 +116,8 @@
     def _counter_of(self, customer: str) -> _CustomerCounter:
         """Return a customer's counter, or the shared one of customers over the limit.
 
-        Without the limit on the number of customers, configuration documents for ever
-        more new customers would make the memory of every daemon grow until the daemon
-        is killed.
+        Without the limit on the number of customers, documents for more and more new
+        customers would make the memory of every daemon grow until the daemon is killed.
         """
         counter = self._customers.get(customer)
         if counter is not None:
@@ -194,7 +193,7 @@
 
 
 class _ConvergenceRing:
-    """Holds the newest convergences: for each, eight bytes of time and of duration."""
+    """Holds the newest convergences, each as a time and a duration of eight bytes."""
 
     def __init__(self) -> None:
         self._at_ms = array("q")
--- a/packages/pepperstair-core/pepperstair_core/burn/messages.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/messages.py
@@ -55,10 +55,9 @@
 
 
 class Convergence(Struct, frozen=True):
-    """One change that is in force everywhere: since when, and the time that it took.
+    """A change that has been put in force everywhere.
 
-    `age_ms` is the time since the change was in force everywhere; `duration_ms` is the
-    time that the change took until then.
+    `age_ms` is the time since then; `duration_ms` is the time that the change took.
     """
 
     age_ms: int
--- a/packages/pepperstair-core/pepperstair_core/calls/service_times.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/service_times.py
@@ -56,7 +56,10 @@
         self._record_route(route, service_ms)
 
     def is_short(self, call: WaitingCall) -> bool:
-        """Return whether a call takes less than `SHORT_SHARE` of the longest time."""
+        """Return whether a call is much shorter than the longest calls.
+
+        A call is short if it typically takes less than `SHORT_SHARE` of their time.
+        """
         return self._typical_ms(call) < SHORT_SHARE * self.longest_ms
 
     def latest_useful_start_ms(self, call: WaitingCall) -> float:
--- a/packages/pepperstair-core/pepperstair_core/distribution/anti_entropy.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/anti_entropy.py
@@ -63,7 +63,7 @@
 def query_holders_if_due(
     state: DistributionState, has_known_floor: bool, now_ms: int
 ) -> Actions:
-    """Request the versions of neighbours that have not confirmed to hold a candidate.
+    """Request the versions of neighbours that are not known to hold a candidate.
 
     A neighbour announces only once that it holds a version. If its announcement is lost
     with a broken stream, this daemon would hold the version but, without this request,
--- a/packages/pepperstair-core/pepperstair_core/distribution/floor.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/floor.py
@@ -125,9 +125,9 @@
 ) -> bool:
     """Return whether enough neighbours answered and all their versions are in force.
 
-    Two answers are enough, but only after the full `floor_wait_ms`, so that more
-    neighbours can answer: the two neighbours that answer first may be the two whose
-    versions are out of date.
+    Two answers, or one in a fleet of two daemons, are enough, but only after the full
+    `floor_wait_ms`, so that more neighbours can answer: the two neighbours that answer
+    first may be the two whose versions are out of date.
     """
     n_others = sum(1 for _ in state.fleet.live()) - 1
     n_needed = min(N_NEIGHBOURS_FOR_FLOOR, max(1, n_others))
--- a/packages/pepperstair-core/pepperstair_core/membership/edges.py
+++ b/packages/pepperstair-core/pepperstair_core/membership/edges.py
@@ -19,8 +19,8 @@
 
     If two daemons choose each other as neighbours, the daemon with the lower name
     dials. The other one dials only after `dial_delay_ms`, in case the first daemon has
-    a different view of the members and does not dial. A stream to a daemon that is no
-    wanted neighbour is closed after 4 times that delay.
+    a different view of the members and does not dial. A stream to a daemon that is not
+    a wanted neighbour is closed after 4 times that delay.
     """
 
     def __init__(
--- a/packages/pepperstair-core/pepperstair_core/schema.py
+++ b/packages/pepperstair-core/pepperstair_core/schema.py
@@ -118,7 +118,7 @@
     """Read a table, then validate the record as a whole with `iter_faults`.
 
     The validation of the whole record also runs if single keys are invalid, with
-    placeholder values in place of the invalid ones. Without it, operators would correct
+    placeholder values in place of the invalid ones. Otherwise operators would correct
     a file, run the check again and only then get the next fault. Faults that
     `iter_faults` reports at a key that is already invalid are left out, because they
     only result from the placeholder.
--- a/packages/pepperstair-core/pepperstair_core/shared_reading.py
+++ b/packages/pepperstair-core/pepperstair_core/shared_reading.py
@@ -89,9 +89,9 @@
 
     @property
     def max_age_ms(self) -> float:
-        """Return the age of a confirmation at which the first other daemon reads.
+        """Return the age of a confirmation at which another daemon reads the table.
 
-        Other daemons are those that do not watch the table.
+        The reader is the first daemon in the ranking that does not watch the table.
         """
         return FIRST_READ_SHARE * self.bound_ms
 
--- a/packages/pepperstair-core/pepperstair_core/wire/data.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/data.py
@@ -25,8 +25,8 @@
     `time_left_ms` is relative because the clocks of two VMs differ. If `has_body` is
     set, `BodyPart` frames and a `BodyEnd` follow. `wanted_left_ms` is the remaining
     time within which the response has its full value for the caller; it is negative if
-    the route defines no such time. `fingerprint` is equal for requests for the same
-    work.
+    the route defines no such time. `fingerprint` is equal for requests that do the
+    same work.
     """
 
     call_id: int
