--- a/packages/pepperstair-core/pepperstair_core/burn/messages.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/messages.py
@@ -55,7 +55,10 @@
 
 
 class Convergence(Struct, frozen=True):
-    """One change: the time since it was in force everywhere, and how long it took."""
+    """A change that has been put in force everywhere.
+
+    `age_ms` is the time since then; `duration_ms` is the time that the change took.
+    """
 
     age_ms: int
     duration_ms: int
--- a/packages/pepperstair-core/pepperstair_core/burn/report.py
+++ b/packages/pepperstair-core/pepperstair_core/burn/report.py
@@ -31,7 +31,7 @@
 
 
 class AlertRule(Struct, frozen=True):
-    """A pair of windows and the burn rate that both must exceed for an alert."""
+    """Two windows, and the burn rate that must be exceeded in both for an alert."""
 
     name: str
     threshold: float
@@ -47,7 +47,10 @@
 
 
 class PriorityBurn(Struct, frozen=True):
-    """The calls of one priority in one window; without calls, shares are None."""
+    """The calls of one priority in one window, with their shares and burn rate.
+
+    The shares are None if the window contains no calls.
+    """
 
     counts: CallCounts
     availability_percent: float | None
@@ -56,11 +59,11 @@
 
 
 class WindowBurn(Struct, frozen=True):
-    """One window over the fleet.
+    """The calls of the whole fleet in one window.
 
     `covered_percent` is the share of the window for which the daemons have been
-    running. The remainder to 100 is the gap left by restarts and by daemons that did
-    not answer.
+    running. The difference to 100 is due to restarts and to daemons that did not
+    answer.
     """
 
     window_ms: int
@@ -80,7 +83,10 @@
 
 
 class ConvergenceBurn(Struct, frozen=True):
-    """The convergence of the changes in the longest window against its objective."""
+    """The times that the changes of the longest window took to be in force everywhere.
+
+    `n_late` is the number of changes that took longer than the objective.
+    """
 
     n_changes: int
     n_late: int
@@ -206,7 +212,10 @@
 
 
 def _budget_left_percent(longest: PriorityBurn) -> float:
-    """Return the error budget left by the counted calls; negative if overspent."""
+    """Return the error budget that remains after the counted calls.
+
+    The result is negative if more calls missed the objective than the budget permits.
+    """
     return 100 * (1 - longest.burn_rate)
 
 
--- a/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_latencies.py
@@ -43,7 +43,7 @@
         return 1.0 if typical_ms is None else self._typical_overall_ms / typical_ms
 
     def record_latency(self, route: str, latency_ms: float) -> None:
-        """Update the typical latency with that of a good answer."""
+        """Update the typical latency of a route with the latency of a good answer."""
         if latency_ms <= 0.0:
             return
         if len(self._typical_ms) >= N_ROUTES_MAX and route not in self._typical_ms:
@@ -68,8 +68,8 @@
         """Return how many consecutive errors eject a target, at least `n_errors`.
 
         If a downstream service fails, all targets fail most calls and each soon has
-        some consecutive errors. Ejecting them one after the other would leave the rest
-        with more calls than slots, although none of them is at fault.
+        some consecutive errors. Ejecting them one after the other would leave the
+        remaining targets with more calls than slots, although no target is at fault.
         """
         rate = self._failure_rates.get(route, 0.0)
         if rate <= 0.0:
--- a/packages/pepperstair-core/pepperstair_core/calls/target_health.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_health.py
@@ -32,9 +32,9 @@
 class TargetHealth:
     """The health of one target as this daemon sees it.
 
-    Until `avoided_until_ms` the target gets calls only if no other one is usable. If
-    ejected, it gets one call as a probe from `ejected_until_ms` on. `seen_ms` is when
-    it was last among the endpoints.
+    Until `avoided_until_ms` the target gets calls only if no other target is usable.
+    An ejected target gets a single call as a probe from `ejected_until_ms` on.
+    `seen_ms` is the time at which the target was last among the endpoints.
     """
 
     __slots__ = (
@@ -77,8 +77,9 @@
     def slow_start_share(self, is_cold: bool, now_ms: float) -> float:
         """Return the share of its slots that a target is given during its slow start.
 
-        A target that has just started answers slowly. With its full share at once,
-        calls would queue behind its warm-up, which callers see as a latency spike.
+        A target that has just started answers slowly. If it got its full share of calls
+        at once, calls would queue until it has warmed up, and callers would see a
+        latency spike.
         """
         if is_cold:
             self._warm_since_ms = now_ms
@@ -122,7 +123,7 @@
             self._starts.append((now_ms, weight))
 
     def record_answer(self, start_ms: float) -> None:
-        """Stop timing a call whose answer head arrived; its body may take long."""
+        """Stop timing a call when its answer's head arrives; the body may take long."""
         for index, (started_ms, _) in enumerate(self._starts):
             if started_ms == start_ms:
                 del self._starts[index]
--- a/packages/pepperstair-core/pepperstair_core/wire/data.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/data.py
@@ -22,10 +22,11 @@
 class CallHead(Frame, tag=40):
     """Opens a call with the head of the request and its handling parameters.
 
-    `time_left_ms` is relative, as the clocks of two VMs differ. If `has_body` is set,
-    `BodyPart` frames and a `BodyEnd` follow. `wanted_left_ms` is the remaining time
-    within which the response has its full value for the caller, negative if the route
-    defines none. `fingerprint` is equal for requests for the same work.
+    `time_left_ms` is relative because the clocks of two VMs differ. If `has_body` is
+    set, `BodyPart` frames and a `BodyEnd` follow. `wanted_left_ms` is the remaining
+    time within which the response has its full value for the caller; it is negative if
+    the route defines no such time. `fingerprint` is equal for requests that do the
+    same work.
     """
 
     call_id: int
@@ -52,7 +53,7 @@
 
 
 class BodyEnd(Frame, tag=42):
-    """Marks a body as complete; a body without it was truncated."""
+    """Marks a body as complete; a body without this frame is truncated."""
 
     call_id: int
 
@@ -99,9 +100,9 @@
     """Queries the outcome of a call whose stream was lost.
 
     The receiver sends the stored response. If the call is still running, its response
-    follows on completion. Otherwise the receiver fails the call: as not run if the
-    call was never received and would be refused if it still arrived, and as unknown
-    in all other cases.
+    follows on completion. Otherwise the receiver fails the call. The failure states
+    that the call did not run if it was never received and would be refused if it still
+    arrived; in all other cases it states that the outcome is unknown.
     """
 
     call_id: int
