--- a/packages/pepperstair-callers/pepperstair_callers/attempt_ends.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempt_ends.py
@@ -59,7 +59,7 @@
 
 
 def classify_failure(failure: Failure, is_full_timeout: bool) -> EndKind:
-    """Return the kind of end of an attempt that failed."""
+    """Return the EndKind of an attempt that failed."""
     if failure.kind in _REFUSAL_KINDS:
         return EndKind.REFUSED
     if failure.kind is ErrorKind.PEER_UNREACHABLE:
@@ -72,7 +72,7 @@
 
 
 def classify_answer(status: int, is_complete: bool) -> EndKind:
-    """Return the kind of end of an attempt that was answered.
+    """Return the EndKind of an attempt that was answered.
 
     `is_complete` is false if the answer was truncated while it was relayed.
     """
--- a/packages/pepperstair-callers/pepperstair_callers/attempts.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempts.py
@@ -1,4 +1,4 @@
-"""Send a call to a target and retry it on another target where that is safe."""
+"""Send a call to a target and retry it on another target if a retry is safe."""
 
 from __future__ import annotations
 
@@ -115,7 +115,7 @@
 
     @property
     def request_id(self) -> str:
-        """Return the caller's request id, or an empty string where it set none."""
+        """Return the caller's request id, or an empty string if it is not set."""
         return self._head.request_id
 
     @property
@@ -161,10 +161,10 @@
 
     @property
     def _is_full_timeout(self) -> bool:
-        """Return whether the caller allows about as much time as the route.
+        """Return whether the caller's timeout is about as long as the route's timeout.
 
-        A shorter timeout that expires is no evidence against the target, so it must
-        not eject a target that other callers use.
+        The expiry of a much shorter timeout does not show that the target is faulty,
+        so it must not cause the ejection of a target that other callers use.
         """
         full_ms = self.compiled.route.timeout_ms * FULL_TIMEOUT_SHARE
         return self.timeout_ms >= full_ms
@@ -172,8 +172,9 @@
     def _is_retry_worthwhile(self, response: StreamedResponse) -> bool:
         """Return whether to retry a failure answer on another target.
 
-        A target that fails only some of its requests appears healthy. Without the
-        retry, callers would receive errors that no other target returns.
+        A target that fails only some of its requests appears healthy and stays in
+        use. Without the retry, callers would receive errors that the other targets
+        would not have returned.
         """
         return (
             response.status in FAILED_STATUSES
@@ -183,7 +184,7 @@
         )
 
     async def _retry_elsewhere(self, failed: StreamedResponse) -> StreamedResponse:
-        """Return another target's answer, or the failed one if the retry fails."""
+        """Return another target's answer, or `failed` if the retry fails too."""
         failed_endpoint = self._endpoint
         failed.cancel()
         self._may_have_reached_target = True
@@ -199,7 +200,10 @@
             return failed
 
     def end(self, end: CallEnd) -> None:
-        """Report the end of the current attempt to the target chooser, once."""
+        """Report the end of the current attempt to the target chooser.
+
+        Further calls for the same attempt do nothing.
+        """
         endpoint = self._endpoint
         if endpoint is None:
             return
@@ -229,8 +233,8 @@
     ) -> None:
         """Record the end of an answer that was relayed to the caller.
 
-        Errors and truncated answers count against the target regardless of the state
-        that it announces or reports on a health endpoint.
+        Errors and truncated answers count against the target, regardless of the state
+        that the target announces or reports on a health endpoint.
         """
         kind = classify_answer(response.status, is_complete)
         self._record_tried(str(response.status), self._latency_ms)
@@ -355,7 +359,7 @@
         await asyncio.sleep(decision.delay_ms / 1000)
 
     def _retry_after_ms(self, failure: Failure) -> int:
-        """Return after how long the caller should retry, 0 if that is unknown."""
+        """Return the time after which the caller should retry, or 0 if unknown."""
         if failure.kind is not ErrorKind.TARGET_REFUSED:
             return failure.retry_after_ms
         service = self.compiled.service.name
@@ -383,9 +387,10 @@
         )
 
     def _objective_left_ms(self) -> int:
-        """Return the time left until the route's objective, -1 if it has none.
+        """Return the time left of the route's latency objective, or -1 if it has none.
 
-        Time that the caller waited before it sent the request again counts too.
+        If the caller resends a request, the time that it waited before the resend is
+        subtracted too.
         """
         objective_ms = self.compiled.route.objective_ms
         if not objective_ms:
@@ -405,7 +410,7 @@
 
 
 def count_call_ids() -> Iterator[int]:
-    """Return an iterator over call ids, of which each attempt takes one."""
+    """Return an iterator over call ids; each attempt takes the next one."""
     return itertools.count(1)
 
 
--- a/packages/pepperstair-callers/pepperstair_callers/context.py
+++ b/packages/pepperstair-callers/pepperstair_callers/context.py
@@ -40,9 +40,10 @@
     `send_attempt` runs one attempt, on a local target or through the daemon on the
     target's VM. `budget_of` returns the retry budget of a service. `now_ms` is a
     monotonic clock. `is_starting` is true shortly after the start of the daemon, while
-    it is still receiving its configuration and targets. `service` is the service of the
-    target on this VM, empty where it is not sent to targets. `time_to_stop_ms` is the
-    time that a stopping daemon leaves for its calls, infinite if it is not stopping.
+    it is still receiving its configuration and targets. `service` is the name of the
+    service to which the target on this VM belongs, or an empty string if that name is
+    not sent to targets. `time_to_stop_ms` returns the time that remains for calls until
+    a stopping daemon exits, or infinity if the daemon is not stopping.
     """
 
     vm: str
--- a/packages/pepperstair-callers/pepperstair_callers/proxy.py
+++ b/packages/pepperstair-callers/pepperstair_callers/proxy.py
@@ -143,7 +143,10 @@
             await asyncio.sleep(STARTUP_POLL_INTERVAL_MS / 1000)
 
     def _can_route(self, request: Request) -> bool:
-        """Return whether a request can be routed, or is certain to be refused."""
+        """Return True if a request can be routed or is certain to be refused.
+
+        In both cases, a longer wait for the startup would not help the request.
+        """
         context = self._context
         if context.is_draining():
             return True
@@ -187,10 +190,10 @@
     ) -> bool:
         """Relay an answer and return whether it was relayed completely.
 
-        An answer that has arrived completely frees the target's slot at once.
-        Relaying it may have to wait for the answer to an earlier request on the
-        caller's connection; a slot held until then would be idle and make the target
-        look busy.
+        If the answer has arrived completely, the target's slot is freed before the
+        answer is relayed. The relay may have to wait for the answer to an earlier
+        request on the caller's connection; if the slot were held until then, it would
+        be idle, but the target would appear busy.
         """
         if response.body.is_complete:
             response.cancel()
--- a/packages/pepperstair-callers/pepperstair_callers/relay.py
+++ b/packages/pepperstair-callers/pepperstair_callers/relay.py
@@ -72,10 +72,11 @@
 
 
 def _status_of(failure: Failure) -> int:
-    """Return the status of a failure, which must not wrongly state `not run`.
+    """Return the HTTP status of the answer to a failed request.
 
-    Callers rely on 429 and 503 to mean that the request did not run. A refused
-    second attempt does not prove that for a first attempt whose answer was lost.
+    Callers take 429 and 503 as proof that the request did not run, so another
+    status replaces them if it may have run. For example, if the answer to the first
+    attempt is lost and the second attempt is refused, the first one may have run.
     """
     status = failure.answer.status
     if status in _NOT_RUN_STATUSES and failure.run_status is not RunStatus.NO:
--- a/packages/pepperstair-callers/pepperstair_callers/request_body.py
+++ b/packages/pepperstair-callers/pepperstair_callers/request_body.py
@@ -47,13 +47,16 @@
     def prefix(self) -> bytes:
         """Return the first `REPLAY_MAX_BYTES` bytes of the body.
 
-        For a larger body, these are the same each time it is sent, however it is split
-        on arrival.
+        The prefix does not depend on how the body is split into parts on arrival, so
+        it is the same each time a caller sends the same body.
         """
         return self._buffered[:REPLAY_MAX_BYTES]
 
     def buffer_nowait(self) -> bool:
-        """Buffer a small body that has arrived completely; return whether it has."""
+        """Buffer the body if it is small and has arrived completely.
+
+        Return whether the body was buffered.
+        """
         source = self._source
         if not source.is_complete or source.n_bytes > REPLAY_MAX_BYTES:
             return False
@@ -124,7 +127,7 @@
         return part
 
     def read_nowait(self) -> bytes:
-        """Return b"", as only `read` checks the size limit."""
+        """Return b"" always, because only `read` checks the size limit."""
         return b""
 
 
--- a/packages/pepperstair-callers/pepperstair_callers/request_heads.py
+++ b/packages/pepperstair-callers/pepperstair_callers/request_heads.py
@@ -43,8 +43,8 @@
 def make_head_reader(names: HeaderNames, service: str = "") -> HeadReader:
     """Return a function that parses request heads with these header names.
 
-    `service` is the service of the target on this VM. It is added to each forwarded
-    request if `names` has a header for it.
+    `service` is the name of the service to which the target on this VM belongs. It is
+    added to each forwarded request if `names.caller_service` names a header for it.
 
     >>> read_head = make_head_reader(HeaderNames())
     >>> read_head(((b"pepperstair-timeout-ms", b"800"),)).timeout_ms
@@ -81,7 +81,7 @@
 def _without_connection_headers(
     forwarded: list[tuple[bytes, bytes]], values: dict[bytes, bytes]
 ) -> list[tuple[bytes, bytes]]:
-    """Drop the headers that apply to the caller's connection only.
+    """Return the headers without those that apply to the caller's connection only.
 
     For a chunked body, `content-length` is dropped too: two lengths for one body
     allow request smuggling (RFC 9112, section 6.3).
--- a/packages/pepperstair-http/pepperstair_http/body.py
+++ b/packages/pepperstair-http/pepperstair_http/body.py
@@ -23,9 +23,9 @@
     """Buffers the parts of one body until they are read.
 
     `on_consumed` is called with the size of each part that is read, so that the
-    receiver can resume. Without this backpressure, a slow reader of a 64 MB body would
-    make this process hold all of it. `on_wait` is called when the reader starts to
-    wait for a part that has not arrived.
+    receiver can resume reading. Without this backpressure, a slow reader of a 64 MB
+    body would make this process hold all of it. `on_wait` is called when the reader
+    starts to wait for a part that has not arrived.
 
     >>> body = BodyBuffer.of(b"loot")
     >>> asyncio.run(body.read())
@@ -158,8 +158,9 @@
 class StreamedResponse(Struct, frozen=True):
     """A response whose body may still be arriving.
 
-    `cancel` discards the rest of the body; after a body that was read to its end it
-    does nothing.
+    `cancel` ends the exchange: it stops the receipt of a body that is still arriving
+    and releases the resources of the exchange, such as the slot of a target. A body
+    that has arrived completely can still be read afterwards.
     """
 
     status: int
--- a/packages/pepperstair-http/pepperstair_http/client.py
+++ b/packages/pepperstair-http/pepperstair_http/client.py
@@ -182,7 +182,8 @@
     def _has_mismatched_id(self, head: ResponseHead) -> bool:
         """Return whether an answer belongs to another request.
 
-        A refusal may lack the request id; a 2xx answer without it is not accepted.
+        A refusal may lack the request id; a 2xx answer without the id counts as an
+        answer to another request.
         """
         if self._echoed_header is None:
             return False
--- a/packages/pepperstair-http/pepperstair_http/connection.py
+++ b/packages/pepperstair-http/pepperstair_http/connection.py
@@ -28,7 +28,7 @@
 class ServerConnection(ReceivingProtocol):
     """Receives requests, runs the handler for each and writes their answers.
 
-    As h11 handles one request at a time, each request has an h11 connection of its own.
+    An h11 connection handles one request at a time, so each request has its own.
     When requests are pipelined, the bytes that follow a request are passed to a new
     h11 connection.
     """
@@ -110,7 +110,7 @@
         Clients that vanish without closing, send a head byte by byte or stop reading
         would otherwise hold connections, and the slots of targets behind them, until
         the limits are reached and all other clients are refused. No timeout applies
-        while only the handler has work to do.
+        while the connection waits only for the handler.
         """
         limits = self._server.limits
         if not self._pipeline and self._head_start_s is not None:
@@ -173,7 +173,7 @@
         return h11.Connection(h11.SERVER, max_incomplete_event_size=header_max_bytes)
 
     def _reject_slow_head(self) -> None:
-        """Answer 408 if heads have a timeout of their own, else reset."""
+        """Answer 408 if `header_timeout_ms` is set, otherwise reset the connection."""
         if self._server.limits.header_timeout_ms:
             self._write_error(408, "the head of the request did not arrive in time")
         else:
@@ -199,7 +199,7 @@
     def _may_read_event(self) -> bool:
         """Return whether the next event may be read.
 
-        After the end of a request, create the h11 connection of the next one.
+        After the end of a request, create the h11 connection for the next request.
         """
         if self._rejection is not None:
             return False
@@ -222,8 +222,8 @@
     def _pause_or_resume_reading(self) -> None:
         """Read from the client only while the buffered data is within its limits.
 
-        If a client disconnects while reading is paused, this is detected once the
-        next of its requests is answered.
+        If a client disconnects while reading is paused, the disconnection is detected
+        only when the next of its requests is answered.
         """
         if self._transport is None or self._transport.is_closing():
             return
@@ -279,7 +279,8 @@
     def _send_continue(self, h11_connection: h11.Connection) -> None:
         """Send `100 Continue` once the handler reads the body.
 
-        A handler may refuse a request without reading its body.
+        It is not sent earlier, because a handler may refuse a request without reading
+        its body.
         """
         if h11_connection.they_are_waiting_for_100_continue:
             response = h11.InformationalResponse(status_code=100, headers=[])
@@ -309,8 +310,9 @@
     def _finish(self, exchange: Exchange) -> None:
         """Continue with the next request, or close if the body is incomplete.
 
-        Otherwise, the remaining bytes of the body would be parsed as the next request,
-        and the client would match its answer with the wrong request.
+        If the connection stayed open, the remaining bytes of an incomplete body would
+        be parsed as the next request, and the client would match the answer to them
+        with the wrong request.
         """
         self._pipeline.remove_first()
         self._last_activity_s = self._loop.time()
@@ -356,8 +358,8 @@
     def _reject(self, error: h11.RemoteProtocolError) -> None:
         """Reject malformed bytes after all earlier requests are answered.
 
-        If they belong to a request that has already begun, its outcome is unknown, and
-        the connection is reset.
+        If the malformed bytes belong to a request that has already begun, its outcome
+        is unknown, and the connection is reset.
         """
         newest = self._pipeline.newest
         if newest is not None and not newest.is_complete:
--- a/packages/pepperstair-http/pepperstair_http/exchange.py
+++ b/packages/pepperstair-http/pepperstair_http/exchange.py
@@ -49,7 +49,7 @@
     An answer waits until all earlier requests of the connection are answered.
     `state` is the h11 connection for this request and its answer only. `is_started` is
     set once the handler runs. `queued_s` is how long the request waited behind earlier
-    requests before that; the client has been waiting for this time too.
+    requests before the handler ran; it is part of the time that the client waits.
     """
 
     __slots__ = (
@@ -118,7 +118,7 @@
 
         The parts that have already arrived are sent in one write with the head, and
         with the end if the body is complete: a small answer in three writes would
-        wake the client three times. An error of the body is raised.
+        wake the client three times. If the body fails, its error is raised.
         """
         if not self._channel.is_next_to_answer(self):
             self._waiting_answer = body
@@ -139,7 +139,7 @@
             events = [h11.Data(data=part)] if part and not is_head_only else []
 
     def abort(self) -> None:
-        """Reset the connection, as the answer cannot be completed."""
+        """Reset the connection because the answer cannot be completed."""
         self._channel.abort()
 
     async def _send(self, *events: h11.Event) -> None:
--- a/packages/pepperstair-http/pepperstair_http/fetch.py
+++ b/packages/pepperstair-http/pepperstair_http/fetch.py
@@ -43,8 +43,8 @@
 
         `timeout_ms` replaces the default timeout until the head of the answer arrives.
         From then on, the default timeout applies to each part of the body: a large
-        answer takes seconds over a slow link, and under one timeout for the whole it
-        would be cancelled and requested again without end.
+        answer takes seconds over a slow link. With a single timeout for the whole
+        answer, it would be cancelled and requested again without end.
         """
         async with asyncio.timeout((timeout_ms or self._timeout_ms) / 1000) as scope:
             connection = self._take_idle() or await self._open()
--- a/packages/pepperstair-http/pepperstair_http/header_names.py
+++ b/packages/pepperstair-http/pepperstair_http/header_names.py
@@ -10,8 +10,8 @@
 
     All names are in lower case; an empty name means that the header is not used.
 
-    - `timeout_ms` states how long the caller waits or, in a request to a target, the
-      time remaining of that.
+    - `timeout_ms` states how long the caller waits or, in a request to a target, how
+      much of that time remains.
     - `request_id` identifies the request. Targets echo it if `is_id_echoed` is set.
     - `caller_service` is set by the daemon on each request that it forwards.
     - `expected_target` names the only target that may run the request.
--- a/packages/pepperstair-http/pepperstair_http/limits.py
+++ b/packages/pepperstair-http/pepperstair_http/limits.py
@@ -29,7 +29,7 @@
     """Limits of one server on its clients.
 
     The head of a request must arrive within `header_timeout_ms`, or within
-    `idle_timeout_ms` if that is 0.
+    `idle_timeout_ms` if `header_timeout_ms` is 0.
     """
 
     n_connections_max: int = 1000
--- a/packages/pepperstair-http/pepperstair_http/malformed.py
+++ b/packages/pepperstair-http/pepperstair_http/malformed.py
@@ -14,7 +14,7 @@
 
 
 class Rejection(Struct, frozen=True):
-    """The error answer to malformed bytes; answers to earlier requests precede it."""
+    """The error answer to malformed bytes, sent after earlier requests are answered."""
 
     status: int
     text: str
@@ -23,7 +23,7 @@
 def error_answer_events(status: int, text: str) -> tuple[h11.Event, ...]:
     """Return an error answer that marks the request as not run.
 
-    It announces that the connection closes.
+    The answer announces that the connection closes.
     """
     body = f"{text}\n".encode()
     headers = [
@@ -39,9 +39,9 @@
 def has_ambiguous_length(event: h11.Request) -> bool:
     """Return whether a head has both content-length and transfer-encoding.
 
-    A proxy and a server may disagree on the end of such a body, so that the server
-    runs as a request what the proxy considers part of the body: request smuggling
-    (RFC 9112, section 6.1).
+    A proxy and a server may disagree on where the body of such a request ends. The
+    server may then run, as a separate request, bytes that the proxy considers part of
+    the body. This is request smuggling (RFC 9112, section 6.1).
     """
     names = {name for name, _ in event.headers}
     return b"content-length" in names and b"transfer-encoding" in names
--- a/packages/pepperstair-http/pepperstair_http/pipeline.py
+++ b/packages/pepperstair-http/pepperstair_http/pipeline.py
@@ -1,9 +1,9 @@
 """HTTP pipelining: the requests of one connection that are not answered yet.
 
 A client may send further requests before the first one is answered (RFC 9112,
-section 9.3.2). Run concurrently, they take as long as the slowest one. Answers are
-still written in the order of the requests: only the first unanswered request may write
-to the connection.
+section 9.3.2). If they run concurrently, together they take only as long as the
+slowest one. Answers are still written in the order of the requests: only the first
+unanswered request may write to the connection.
 """
 
 from __future__ import annotations
@@ -47,8 +47,8 @@
     A request that must not run twice begins only once all earlier requests are
     answered, and later requests wait for its answer. If it began earlier and an
     earlier answer closed the connection, its client would assume that it was not
-    processed and send it again, so that it would run twice. Later requests may depend
-    on what it changes, as if they had been sent one by one.
+    processed and send it again, so that it would run twice. Later requests wait
+    because they may depend on the changes that it makes.
     """
 
     __slots__ = ("_requests",)
@@ -78,7 +78,7 @@
         self._requests.popleft()
 
     def remove_newest(self) -> None:
-        """Remove the last request, the rest of which is malformed."""
+        """Remove the last request, whose remaining bytes are malformed."""
         self._requests.pop()
 
     def startable(self) -> list[PendingT]:
@@ -118,7 +118,7 @@
         """Return whether one more request may be read.
 
         Pipelined requests and the answers that wait for earlier ones are held in
-        memory; without limits, a single client could exhaust it.
+        memory; without limits, a single client could exhaust the memory.
         """
         n_requests = len(self._requests)
         if not n_requests:
--- a/packages/pepperstair-http/pepperstair_http/receiving.py
+++ b/packages/pepperstair-http/pepperstair_http/receiving.py
@@ -20,7 +20,7 @@
 
     With a plain asyncio.Protocol, the loop allocates 256 KB for each read and shrinks
     it to the size received, which for small messages costs more than the read itself.
-    One buffer is enough for all connections, as the loop runs nothing else between
+    One buffer is enough for all connections, because the loop runs nothing else between
     filling the buffer and passing it to the protocol.
     """
 
--- a/packages/pepperstair-http/pepperstair_http/server.py
+++ b/packages/pepperstair-http/pepperstair_http/server.py
@@ -73,7 +73,8 @@
         """Start listening and return the port; port 0 lets the system choose one.
 
         `opened` is a socket that already listens at the address. If it is given, the
-        server uses it, with the connections in its accept queue, instead of its own.
+        server uses this socket, with the connections in its accept queue, and opens
+        no other one.
         """
         loop = asyncio.get_running_loop()
         endpoint = {"sock": opened} if opened else {"host": host, "port": port}
@@ -86,9 +87,9 @@
     def request_connection_close(self) -> None:
         """Continue to serve, but send `connection: close` with answers.
 
-        Clients are notified by other means that this daemon is stopping, which takes a
-        while. A client whose connection was refused or closed meanwhile would get an
-        error for a request that could still be served.
+        Clients are notified by other means that this daemon is stopping, and the
+        notification takes a while. Until it arrives, a client whose connection was
+        refused or closed would get an error for a request that could still be served.
         """
         self.is_draining = True
 
--- a/packages/pepperstair-http/pepperstair_http/server_state.py
+++ b/packages/pepperstair-http/pepperstair_http/server_state.py
@@ -19,7 +19,7 @@
 
 
 def is_safe(request: Request) -> bool:
-    """Return whether the method of a request is safe: without side effects."""
+    """Return whether the method of a request is safe, that is, has no side effects."""
     return request.method in _SAFE_METHODS
 
 
--- a/packages/pepperstair-http/pepperstair_http/sockets.py
+++ b/packages/pepperstair-http/pepperstair_http/sockets.py
@@ -17,8 +17,8 @@
     """Make a connection fail if its peer no longer acknowledges data.
 
     Sent data may stay unacknowledged for up to `unacknowledged_ms`. A middlebox
-    between the two ends may drop the state of a connection; without this option, each
-    request sent on it would wait until its deadline.
+    between the two ends may drop the state of a connection; without these options,
+    each request sent on it would wait until its deadline.
     """
     sock = transport.get_extra_info("socket")
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
--- a/packages/pepperstair-http/pepperstair_http/writing.py
+++ b/packages/pepperstair-http/pepperstair_http/writing.py
@@ -11,11 +11,11 @@
 
 
 def reset_connection(transport: asyncio.Transport) -> None:
-    """Reset a connection, so that the peer can't mistake partial data for all of it.
+    """Reset a connection, so that the peer can't mistake partial data for the whole.
 
     A plain close looks like a regular end: a caller that reads an answer without
     content-length until the connection closes would accept a part of the answer as
-    all of it.
+    the whole.
     """
     sock = transport.get_extra_info("socket")
     if sock is not None and not transport.is_closing():
@@ -26,8 +26,8 @@
 class WriteGate:
     """Blocks writers while the transport's write buffer is full.
 
-    Without it, a peer that stops reading would make the write buffer of its connection
-    grow with every answer until the process runs out of memory.
+    Without this gate, a peer that stops reading would make the write buffer of its
+    connection grow with every answer until the process runs out of memory.
     """
 
     __slots__ = ("_is_lost", "_waiters", "is_open")
@@ -47,7 +47,7 @@
         self._release()
 
     def mark_lost(self) -> None:
-        """Make all current and later waits raise, as the connection is closed."""
+        """Make all current and later waits raise because the connection is closed."""
         self._is_lost = True
         self._release()
 
--- a/packages/pepperstair-peers/pepperstair_peers/control/links.py
+++ b/packages/pepperstair-peers/pepperstair_peers/control/links.py
@@ -11,7 +11,7 @@
 
 
 class ControlLink(Struct, frozen=True):
-    """A control stream, with the data that decides which of two to a VM is kept."""
+    """A control stream, and the data for choosing between two streams to one VM."""
 
     stream: FrameStream
     vm: str
@@ -46,9 +46,9 @@
 
         If both sides dial at the same time, each keeps the stream dialled by the
         VM with the lower name. Without a common rule each side could close the
-        stream that the other one keeps, and both streams would be lost. A stream
+        stream that the other side keeps, and both streams would be lost. A stream
         opened after the race window replaces the current one: the other side
-        dialled again because it no longer receives anything on the first one.
+        dialled again because it no longer receives anything on the first stream.
         """
         current = self._links.get(link.vm)
         if (
@@ -64,7 +64,7 @@
         return link.is_dialler == (self._own_vm < link.vm)
 
     def put(self, link: ControlLink) -> ControlLink | None:
-        """Store a link and return the one that it replaces, or None."""
+        """Store a link and return the link that it replaces, or None."""
         current = self._links.get(link.vm)
         self._links[link.vm] = link
         return current
--- a/packages/pepperstair-peers/pepperstair_peers/control/plane.py
+++ b/packages/pepperstair-peers/pepperstair_peers/control/plane.py
@@ -136,7 +136,7 @@
         return link.stream.gate.is_open
 
     def send(self, vm: str, *frames: Any) -> None:
-        """Send frames to a neighbour; without a stream to it they are discarded."""
+        """Send frames to a neighbour, or discard them if no stream to it is open."""
         link = self._links.get(vm)
         if link is not None:
             link.stream.send(*frames)
@@ -158,7 +158,7 @@
         """Detect a pause of this process, and rejoin the fleet after one.
 
         Return True if this call detected the pause: data that the kernel buffered
-        during it is stale and must not be read.
+        during the pause is stale and must not be read.
         """
         pause_ms = self._pause_detector.check(self._boot_clock_ms())
         if not pause_ms:
@@ -233,7 +233,7 @@
             self._execute(self._membership.fail(address, is_refused, now_ms))
 
     def _add_link(self, link: ControlLink, address: str) -> None:
-        """Start using a stream, or close it if the current one is preferred."""
+        """Start using a new stream, or close it if the current stream is preferred."""
         if not self._links.is_preferred(link):
             self._membership.mark_reached(address)
             link.stream.close()
--- a/packages/pepperstair-peers/pepperstair_peers/data/client.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/client.py
@@ -1,4 +1,4 @@
-"""The sending side of calls, with one link to each daemon in use."""
+"""The sending side of calls, with one link to each daemon that receives calls."""
 
 from __future__ import annotations
 
--- a/packages/pepperstair-peers/pepperstair_peers/data/fence.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/fence.py
@@ -16,9 +16,9 @@
 class StreamFence:
     """Tracks the highest sequence of the data streams that each process has opened.
 
-    A silent stream may resume after it was replaced. Without the fence, a call
-    head still buffered on it would run although the caller queried the call on
-    the new stream and received the answer that it had not run.
+    A silent stream may resume after it was replaced. Without the fence, a call whose
+    head is still buffered on that stream would run, although the caller queried the
+    call on the new stream and received the answer that the call had not run.
     """
 
     def __init__(self) -> None:
--- a/packages/pepperstair-peers/pepperstair_peers/data/link.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/link.py
@@ -42,9 +42,10 @@
 class PeerLink:
     """Sends calls to one daemon and recovers them when a stream is lost.
 
-    After the loss of its stream, a non-idempotent call is queried on a new stream,
-    but only from the process that accepted it, as no other process knows the
-    outcome. A call is resent if it is idempotent or was never received.
+    After the loss of its stream, the outcome of a non-idempotent call is queried on a
+    new stream, but only from the process that accepted the call, because no other
+    process knows the outcome. A call is resent if it is idempotent or was never
+    received.
     """
 
     def __init__(
@@ -150,8 +151,8 @@
 
         The silence timeout is the larger of the values configured at both ends for
         their links. A large answer on a 5 Mbit/s link delays everything behind it
-        for most of a second. If streams were closed because of that delay, all would
-        be reopened on the same link, and calls would fail on healthy VMs.
+        for most of a second. If streams were closed because of that delay, all of
+        them would be reopened on the same link, and calls would fail on healthy VMs.
         """
         if now_ms - self._last_received_ms >= self._silence_ms:
             self._stream.close()
@@ -161,8 +162,8 @@
     def _fail_urgent_calls(self) -> None:
         """Fail idempotent calls with too little time left for recovery.
 
-        The daemon may be paused or partitioned. Recovery takes several heartbeats,
-        in which a retry at another target could have been answered.
+        The daemon may be paused or partitioned. Recovery takes several heartbeats; in
+        that time, a retry at another target can be answered.
         """
         limit_ms = _N_URGENT_HEARTBEATS * self._heartbeat_ms
         for call_id, call in list(self._calls.items()):
@@ -249,7 +250,8 @@
         """Resend a call that did not reach the peer, and return whether it was resent.
 
         The peer has replied to an outcome query that it never received the call. From
-        then on it refuses the call on any earlier stream, so the call can't run twice.
+        then on the peer refuses the call on any earlier stream, so the call can't run
+        twice.
         """
         if not isinstance(frame, CallFailed) or frame.run is not RunStatus.NO:
             return False
--- a/packages/pepperstair-peers/pepperstair_peers/data/outgoing.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/outgoing.py
@@ -119,18 +119,21 @@
         stream.send(self.head, *self._request)
 
     def query_outcome(self, stream: FrameStream) -> None:
-        """Query the call on a new stream, and skip answer bytes received before."""
+        """Query the outcome of the call on a new stream.
+
+        The bytes of the answer that were received on an earlier stream are skipped.
+        """
         self.stream = stream
         stream.send(CallQuery(self.head.call_id))
         self._n_bytes_to_skip = self._n_received_bytes
 
     def stop_sending(self) -> None:
-        """Stop sending the request body, as stream or caller has disconnected."""
+        """Stop sending the request body when the stream is lost or the call ends."""
         if self._body_task is not None:
             self._body_task.cancel()
 
     def fail(self, failure: Failure) -> None:
-        """Fail the call for its reader, before or after the head of the answer."""
+        """Fail the call for its reader, whether or not the answer has started."""
         error = PepperstairError(failure)
         self.stop_sending()
         if self.answer.done():
@@ -154,8 +157,8 @@
     ) -> None:
         """Send the request body, and fail the call if the body is truncated.
 
-        Otherwise the target would wait for the rest until its timeout and occupy a
-        slot meanwhile.
+        If the call did not fail, the target would wait for the rest of the body until
+        its timeout and occupy a slot meanwhile.
         """
         call_id = self.head.call_id
         try:
--- a/packages/pepperstair-peers/pepperstair_peers/data/sending.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/sending.py
@@ -23,9 +23,9 @@
 class CreditGate:
     """Limits the sending of one body to the credit granted by its receiver.
 
-    Without it, a receiver whose caller reads slowly would have to buffer a whole
-    file (such as a map pack), or stop reading the stream and so block every other
-    call on it.
+    Without this limit, a receiver whose caller reads slowly would have to buffer a
+    whole file (such as a map pack), or stop reading the stream and so block every
+    other call on it.
     """
 
     __slots__ = ("_is_stream_lost", "_n_bytes", "_waiter")
@@ -41,7 +41,7 @@
         self._wake()
 
     def on_stream_lost(self) -> None:
-        """Release the waiting sender, as no more credit can arrive."""
+        """Release the waiting sender, because no more credit can arrive."""
         self._is_stream_lost = True
         self._wake()
 
--- a/packages/pepperstair-peers/pepperstair_peers/data/server.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/server.py
@@ -1,4 +1,4 @@
-"""The receiving side of calls, which runs them at local targets and answers."""
+"""The receiving side of calls, which runs them at local targets and sends answers."""
 
 from __future__ import annotations
 
@@ -115,7 +115,7 @@
         return len(self._running)
 
     def serve_stream(self, stream: FrameStream, hello: Hello) -> None:
-        """Serve the calls of a stream, which replaces an earlier one of its sender."""
+        """Serve the calls of a stream, which replaces its sender's earlier stream."""
         incoming = _IncomingStream(stream, hello, self._clock_ms())
         if not self._fence.admit(incoming.sender, hello.sequence):
             stream.close()
@@ -131,9 +131,10 @@
     def reset_streams(self) -> None:
         """Close every stream without reading it, after a pause of this process.
 
-        The callers have long abandoned the calls that the kernel buffered meanwhile.
-        Running them now could repeat a non-idempotent request, such as a
-        booking, whose caller received `outcome_unknown` and has sent it elsewhere.
+        The callers have long abandoned the calls that the kernel buffered during the
+        pause. Running these calls now could repeat a non-idempotent request, such as a
+        booking, whose caller received `outcome_unknown` and has sent the request
+        elsewhere.
         """
         for sender in list(self._streams):
             self._drop_stream(sender)
@@ -202,7 +203,7 @@
         )
 
     def _finish_call(self, incoming: _IncomingStream, call: IncomingCall) -> None:
-        """Record the answer of a finished call, and send it to a waiting query."""
+        """Record the answer of a finished call, and send it if it was queried."""
         call_id = call.head.call_id
         incoming.calls.pop(call_id, None)
         # A resent idempotent call may already have replaced this entry.
@@ -271,8 +272,8 @@
     def _send_heartbeats(self) -> None:
         """Send a heartbeat with the target loads on each stream in use.
 
-        Streams without recent calls are skipped, as each daemon may have one to
-        every other daemon.
+        Streams without recent calls are skipped, because each daemon may have a stream
+        to every other daemon.
         """
         now_ms = self._clock_ms()
         heartbeat = Heartbeat(0, self.loads())
--- a/packages/pepperstair-platform/pepperstair_platform/acceptance.py
+++ b/packages/pepperstair-platform/pepperstair_platform/acceptance.py
@@ -1,9 +1,10 @@
-"""Accepts changes: a validated document is committed in one transaction.
+"""Accepts changes by committing a validated document in one transaction.
 
-The row of the change id records the outcome of a change. It is written in the same
-transaction as the head, so a daemon that reads it knows the outcome. If the answer
-to a commit is lost, an `abandoned` row is written in its place, so that a commit
-still in transit can no longer take effect.
+The change row, whose key contains the change id, records the outcome of a change. It
+is written in the same transaction as the head, so a daemon that reads the change row
+knows the outcome. If the answer to a commit is lost, the daemon tries to write an
+`abandoned` row under the same key; once this row is written, a commit still in transit
+can no longer take effect.
 """
 
 from __future__ import annotations
@@ -52,7 +53,10 @@
 
 
 class Accepted(Struct, frozen=True):
-    """Represents an accepted change; `is_repeat` if an earlier request committed it."""
+    """Represents an accepted change.
+
+    `is_repeat` is True if an earlier request committed the change.
+    """
 
     snapshot: Snapshot
     is_repeat: bool
@@ -78,9 +82,10 @@
     """Commit a change and return it, or return the failure.
 
     Of several concurrent changes to the same version, all but one fail with
-    `conflict`, as the transaction compares the head with the one that was read.
-    `change_outcome_unknown` is returned only if the outcome cannot be determined
-    yet; repeating the request with the same change id, at any daemon, returns it.
+    `conflict`, because the transaction succeeds only if the head is still the one
+    that was read. `change_outcome_unknown` is returned only if the outcome cannot be
+    determined yet; to obtain the outcome, the operator repeats the request with the
+    same change id at any daemon.
     """
     body = encode_intent(request.intent)
     customer = request.intent.customer
@@ -140,9 +145,10 @@
     """Determine the outcome of a commit whose answer was lost.
 
     The commit may have taken effect, be in transit or be lost. An `abandoned` row is
-    written on condition that the change's row is unchanged. If that fails, the commit
-    was first, and the row shows the outcome. If it succeeds, the commit can no longer
-    take effect, and it is certain that nothing was accepted.
+    written on condition that the change row is unchanged. If this write fails because
+    the row has changed, the commit was first, and the row shows the outcome. If the
+    write succeeds, the commit can no longer take effect, and it is certain that
+    nothing was accepted.
     """
     if failure.kind is not ErrorKind.CHANGE_OUTCOME_UNKNOWN:
         return Err(_failure_before_commit(attempt.request, failure))
@@ -186,8 +192,9 @@
 ) -> Result[Accepted, Failure]:
     """Return the result of a change that was committed earlier as `head`.
 
-    A change id that was used for another document is a conflict: `accepted` would
-    report a change to the operator that was never committed.
+    If the change id was used for another document, the result is a conflict:
+    `accepted` would report to the operator that this document was committed,
+    although it never was.
     """
     body = encode_intent(request.intent)
     if head.digest != digest_of(body) or head.customer != request.intent.customer:
--- a/packages/pepperstair-platform/pepperstair_platform/coalescing.py
+++ b/packages/pepperstair-platform/pepperstair_platform/coalescing.py
@@ -15,8 +15,8 @@
 class CoalescedRows:
     """A table that is always read completely; concurrent reads share one request.
 
-    A read that starts while another one is in progress shares its result, as several
-    parts of a starting daemon need rows of the same small table.
+    A read that starts while another one is in progress shares its result, because
+    several parts of a starting daemon need rows of the same small table.
     """
 
     def __init__(self, table: RowTable) -> None:
--- a/packages/pepperstair-platform/pepperstair_platform/platform.py
+++ b/packages/pepperstair-platform/pepperstair_platform/platform.py
@@ -1,7 +1,7 @@
 """Client of the platform's protocol, JSON over HTTP/1.1.
 
-The protocol is confined to this module. Support for another platform is another
-module with the same five methods.
+The protocol is confined to this module. To support another platform, another module
+must provide a client with the same five methods.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class Compare(Struct, frozen=True):
-    """A precondition of a transaction: a row's value, or None for no such row."""
+    """A precondition of a transaction: a row's value, or None if no row may exist."""
 
     key: str
     value: str | None
@@ -57,7 +57,7 @@
     Every method returns failures as values. `platform_unavailable` means that
     nothing was written, and `change_outcome_unknown` that a write may have taken
     effect although its answer was lost. `busy` means that the request was not sent,
-    as the rate limiter did not admit it in time.
+    because the rate limiter did not admit it in time.
     """
 
     def __init__(self, settings: PlatformSettings) -> None:
@@ -125,8 +125,8 @@
         """Send one request and return the response or a failure.
 
         A refused connection or a 503 from the platform proves that nothing was
-        written. A timeout or a lost connection does not: the platform may have
-        committed before its answer was lost.
+        written. A timeout or a lost connection does not prove this: the platform may
+        have committed before its answer was lost.
         """
         if not await self._rate_limiter.acquire(customer, len(body), self._timeout_ms):
             self.counters.n_refused += 1
--- a/packages/pepperstair-platform/pepperstair_platform/rate_limiter.py
+++ b/packages/pepperstair-platform/pepperstair_platform/rate_limiter.py
@@ -20,11 +20,11 @@
 class FairRateLimiter:
     """Admits requests to the platform at a bounded rate, by deficit round robin.
 
-    Without it, the bulk changes of one customer would use up the platform's capacity,
-    and a small customer's change would time out behind them. A request takes one
-    round-robin turn, plus one for each 64 KB that it carries. The rate is counted in
-    requests, so a turn of many small requests would delay the other customers for
-    seconds. `now_ms` is a monotonic clock.
+    Without the limiter, the bulk changes of one customer would use up the platform's
+    capacity, and a small customer's change would time out behind them. A request takes
+    one round-robin turn, plus one turn for each 64 KB that it carries. The rate limits
+    requests, not bytes; if one turn admitted many small requests of a customer, the
+    other customers would be delayed for seconds. `now_ms` is a monotonic clock.
     """
 
     def __init__(self, n_per_s: int, now_ms: Callable[[], int] | None = None) -> None:
--- a/packages/pepperstair-platform/pepperstair_platform/rows.py
+++ b/packages/pepperstair-platform/pepperstair_platform/rows.py
@@ -69,14 +69,14 @@
 def abandoned_row(change_id: str, token: str) -> Row:
     """Return the row of an abandoned change, which can no longer take effect.
 
-    The token makes the row differ from that of every other attempt, so that no
-    commit based on an earlier row can still succeed.
+    The token makes the row differ from the row of every other attempt, so that no
+    commit that expects an earlier value of the row can still succeed.
     """
     return Row(change_key(change_id), json.dumps({_ABANDONED: token}))
 
 
 def head_from_change(row: Row | None) -> Head | None:
-    """Return the head committed by a change, or None if it is not committed."""
+    """Return the head committed by a change, or None if the change is not committed."""
     if row is None or _ABANDONED in json.loads(row.value):
         return None
     return head_from_row(row)
--- a/packages/pepperstair-platform/pepperstair_platform/watching.py
+++ b/packages/pepperstair-platform/pepperstair_platform/watching.py
@@ -2,7 +2,7 @@
 
 A watch is only a hint: it may hang, lose changes or start at a position older than
 the history that the platform retains. A follower therefore reads the whole table
-again whenever a watch ends other than by returning changes.
+again whenever a watch fails or is interrupted.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
         """Return all rows."""
 
     async def wait(self, position: int, wait_ms: int) -> Result[WatchedRows, Failure]:
-        """Return the rows changed after a position, or no rows after `wait_ms`.
+        """Return the rows changed after a position, or none if `wait_ms` ends first.
 
         Fails with `watch_expired` if the history no longer includes the position.
         """
--- a/packages/pepperstair-targets/pepperstair_targets/answer_body.py
+++ b/packages/pepperstair-targets/pepperstair_targets/answer_body.py
@@ -18,8 +18,8 @@
     """Reads the body of an answer and closes the connection on an idle timeout.
 
     A target that hangs in the middle of an answer would otherwise block its slot and
-    the caller indefinitely. The deadline of the call is no substitute: a large file
-    may take longer than that, as long as its bytes keep arriving.
+    the caller indefinitely. The deadline of the call can't be used instead:
+    a large file may take longer than the deadline if its bytes keep arriving.
     """
 
     __slots__ = ("_connection", "_idle_timeout_s", "_source")
--- a/packages/pepperstair-targets/pepperstair_targets/crash_detection.py
+++ b/packages/pepperstair-targets/pepperstair_targets/crash_detection.py
@@ -1,4 +1,4 @@
-"""Distinguish a target that has exited from one that closed a connection."""
+"""Distinguish a target that has exited from one that only closed a connection."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     """Tracks the running calls of one target and detects that it has exited.
 
     `on_exited` is called after the exit, with the fingerprints of the calls that were
-    running. It must prevent further calls to the target.
+    running. The callback must prevent further calls to the target.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         return any(is_wanted(call.fingerprint) for call in self._running)
 
     async def has_exited(self, call: TargetCall) -> bool:
-        """Return whether the target has exited, after its connection for a call broke.
+        """Return whether the target, whose connection for a call broke, has exited.
 
         Calls that break together share one probe of the target, which continues even
         if their callers disconnect.
--- a/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
+++ b/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
@@ -27,10 +27,10 @@
 
 
 class Announcement(Struct, frozen=True):
-    """An announced target with the position of the announcement in their order.
+    """An announced target, with the start time and sequence that order announcements.
 
     `start_ms` is when the target was started, in Unix milliseconds, or 0 if the target
-    does not report it. `sequence` increases with each announcement since then.
+    does not report it. `sequence` increases with each announcement since the start.
     """
 
     target: Target
@@ -46,7 +46,8 @@
 class Departure(Struct, frozen=True):
     """The departure of a target, recorded at `recorded_ms` in Unix milliseconds.
 
-    Announcements of the target up to this start and sequence are ignored.
+    Announcements of the target that do not follow `start_ms` and `sequence` in the
+    order of announcements are ignored.
     """
 
     name: str
@@ -64,13 +65,13 @@
     """Applies the announcements of a VM's only target in the order they were sent.
 
     An announcement can be delayed by seconds. By then its sender may have crashed and
-    another target may have started at its address; a call to the earlier target would
-    reach the wrong process, or none.
+    another target may have started at its address. If the announcement were applied, a
+    call to the earlier target would reach the wrong process, or none.
 
     If targets don't report when they started, an announcement with another name or a
-    restarted sequence is accepted as that of a new target only after no announcement
-    of the known target has arrived for `silent_ms`. A name that deregistered is
-    accepted again after `ANNOUNCEMENT_DELAY_MAX_MS`.
+    restarted sequence is accepted as the announcement of a new target only if no
+    announcement of the known target has arrived for `silent_ms`. The name of a
+    deregistered target is accepted again after `ANNOUNCEMENT_DELAY_MAX_MS`.
     """
 
     def __init__(
@@ -112,10 +113,10 @@
     def deregister(self, name: str) -> bool:
         """Deregister a target and return whether it was registered.
 
-        The deregistration of an earlier target has no effect on the current one. It is
-        recorded even if the target is unknown: after a restart of this daemon, it may
-        be the first message of the target, and announcements sent before it may still
-        arrive.
+        The deregistration of an earlier target has no effect on the current one. Every
+        deregistration is recorded, even if the target is unknown: after a restart of
+        this daemon, it may be the first message received from the target, and
+        announcements that the target sent earlier may still arrive.
         """
         newest = self._newest
         is_newest = newest is not None and newest.target.name == name
--- a/packages/pepperstair-targets/pepperstair_targets/pool.py
+++ b/packages/pepperstair-targets/pepperstair_targets/pool.py
@@ -34,8 +34,8 @@
     """Connections to a target, which are reused after an answer is read to its end.
 
     A call opens a connection only if none is idle, and the number of running calls
-    never exceeds the target's connection limit. So the limit holds without counting
-    the connections in use.
+    never exceeds the target's connection limit. The limit therefore holds although
+    the connections in use are not counted.
     """
 
     def __init__(self, address: str, n_connections_max: int) -> None:
@@ -52,7 +52,7 @@
     def take_idle(self, *, is_fresh_wanted: bool = False) -> ClientConnection | None:
         """Remove and return an idle connection that is still open, or None.
 
-        With `is_fresh_wanted`, it must have been in use within `FRESH_IDLE_MAX_S`.
+        With `is_fresh_wanted`, it must have been idle for at most `FRESH_IDLE_MAX_S`.
         """
         now_s = asyncio.get_running_loop().time()
         while self._idle:
@@ -66,7 +66,7 @@
         return None
 
     async def open(self) -> ClientConnection:
-        """Open a connection, or raise TARGET_UNREACHABLE as not run."""
+        """Open a connection, or raise TARGET_UNREACHABLE with the run status NO."""
         try:
             return await self._connect(CONNECT_TIMEOUT_S)
         except (OSError, TimeoutError) as error:
@@ -78,8 +78,8 @@
     async def is_target_gone(self, hold_s: float) -> bool:
         """Return whether no process serves at the target's address any more.
 
-        This opens a connection. If that stays open for `hold_s`, it is added to the
-        pool for the next call.
+        The probe is a new connection. If this connection stays open for `hold_s`, it
+        is added to the pool for the next call.
         """
         try:
             connection = await self._connect(_PROBE_TIMEOUT_S)
@@ -107,7 +107,7 @@
             connection.close()
 
     def set_connection_limit(self, n_connections_max: int) -> None:
-        """Change the connection limit and close the idle connections over it."""
+        """Change the connection limit and close idle connections that exceed it."""
         self._n_connections_max = n_connections_max
         while len(self._idle) > n_connections_max:
             self._idle.popleft().close()
--- a/packages/pepperstair-targets/pepperstair_targets/registry.py
+++ b/packages/pepperstair-targets/pepperstair_targets/registry.py
@@ -33,7 +33,7 @@
         return tuple(lease.target for lease in self._leases.values())
 
     def get(self, name: str, now_ms: float) -> Target | None:
-        """Return the target of a name, or None if it has no valid lease."""
+        """Return the target with a name, or None if it has no valid lease."""
         lease = self._leases.get(name)
         if lease is None or lease.expires_ms <= now_ms:
             return None
@@ -61,7 +61,7 @@
         """Remove the targets whose lease has lapsed.
 
         A crashed target does not deregister. Without expiry, callers would keep getting
-        refused connections for as long as it stayed registered.
+        refused connections for as long as the target stayed registered.
         """
         lapsed = list(self._iter_lapsed(now_ms))
         for name in lapsed:
--- a/packages/pepperstair-targets/pepperstair_targets/runner.py
+++ b/packages/pepperstair-targets/pepperstair_targets/runner.py
@@ -84,7 +84,8 @@
     """Runs calls on local targets, within the slots of each target.
 
     `policy_of` returns the policy of a customer for a target. Refusals are added to the
-    decision log, at most one entry a second for each target, with their count.
+    decision log, at most one entry a second for each target; an entry states the number
+    of refusals since the previous entry.
     `on_crash` is called with a target that has exited and the fingerprints of the calls
     it was running, `on_cleared` with the record of a suspect request that was answered.
     """
@@ -204,9 +205,9 @@
             raise PepperstairError(refusal)
 
     def _refuse_unsafe(self, head: CallHead, local: LocalTarget, now_ms: float) -> None:
-        """Refuse a call that is quarantined or must not run concurrently with others.
+        """Refuse a quarantined call, or a suspect call while another one is running.
 
-        Suspects run one at a time.
+        Suspect calls run one at a time on a target.
         """
         self._refuse_quarantined(head, now_ms)
 
@@ -226,8 +227,8 @@
     ) -> Failure:
         """Return the failure of a call whose connection broke.
 
-        A draining or deregistered target may exit with unfinished calls; that is no
-        crash.
+        A draining or deregistered target may exit with unfinished calls; this is
+        not a crash.
         """
         target = self._registry.get(local.target.name, self._now_ms())
         if target is None or target.state is TargetState.DRAINING:
@@ -239,7 +240,8 @@
     def _on_exited(self, local: LocalTarget, running: tuple[bytes, ...]) -> None:
         """Report the calls that may have crashed a target and deregister the target.
 
-        Otherwise every other daemon would detect the exit only by its own failed calls.
+        Without the deregistration, every other daemon would detect the exit only when
+        its own calls fail.
         """
         self.n_crashes += 1
         self.on_crash(local.target.name, running)
@@ -257,8 +259,8 @@
 
         Calls for a draining target are refused here: a daemon that has not received the
         draining state yet is notified by the refusal, and no work is lost. The lease
-        is checked for each call, as this process may have been paused while the lease
-        lapsed and its timers may not have run yet.
+        is checked for each call because, after a pause of this process, the lease may
+        have lapsed although the timer that removes the target has not run yet.
         """
         if self.is_draining:
             raise _not_run(ErrorKind.DRAINING, head.target)
--- a/packages/pepperstair-targets/pepperstair_targets/slots.py
+++ b/packages/pepperstair-targets/pepperstair_targets/slots.py
@@ -80,7 +80,7 @@
     def release(self, head: CallHead, service_ms: float | None) -> None:
         """Free the slot of a call that has ended.
 
-        `service_ms` is how long it ran, None if it was not sent to the target.
+        `service_ms` is how long the call ran, or None if it was not sent to the target.
         """
         verdicts = self.admission.finish(
             head.customer, head.priority, service_ms, self._now_ms(), head.route
@@ -108,7 +108,8 @@
         """Remove a call whose caller has disconnected.
 
         Its slot may have been granted at the same moment. If that slot were not freed,
-        the target would lose it permanently, and after some such calls run nothing.
+        the target would lose it permanently, and after several such calls the target
+        would have no slots left.
         """
         call = waiter.call
         if self._waiters.pop(call.ticket, None) is not None:
--- a/packages/pepperstair-targets/pepperstair_targets/target_call.py
+++ b/packages/pepperstair-targets/pepperstair_targets/target_call.py
@@ -52,7 +52,7 @@
 
 
 class TargetCall:
-    """A call that holds a slot until `end`, which may be called repeatedly.
+    """A call that holds a slot until `end` is called; repeated calls do nothing.
 
     `on_end` frees the slot; its argument is whether the request was sent.
     """
@@ -95,7 +95,7 @@
 
     @property
     def fingerprint(self) -> bytes:
-        """Return the fingerprint, which is equal for requests for the same work."""
+        """Return the fingerprint, which all requests for the same work share."""
         return self._head.fingerprint
 
     @property
@@ -109,7 +109,11 @@
         return self._connection is not None and not self._connection.is_closed
 
     async def run(self, time_left_ms: float) -> StreamedResponse:
-        """Return the answer, whose end frees the slot, or raise PepperstairError."""
+        """Return the answer, or raise PepperstairError.
+
+        The slot is freed when `cancel` of the answer is called, or before the error is
+        raised.
+        """
         try:
             async with asyncio.timeout(max(0.0, time_left_ms) / 1000):
                 answer = await self._exchange(time_left_ms)
@@ -167,7 +171,7 @@
             raise self._lost_connection_error(error) from error
 
     def _headers(self, time_left_ms: float) -> Headers:
-        """Return the request's headers, extended by the timeout and expected target."""
+        """Return the request's headers with the timeout and expected target added."""
         names = self._names
         added = [(names.timeout_ms, b"%d" % max(1, time_left_ms))]
         if names.expected_target:
@@ -199,7 +203,7 @@
             raise PepperstairError(Failure(ErrorKind.TARGET_FAILED, detail))
 
     async def _buffer_answer(self, answer: ResponseHead) -> None:
-        """Buffer a complete answer of up to `n_buffered_max_bytes`."""
+        """Wait until the body is complete or `n_buffered_max_bytes` are buffered."""
         try:
             await self._connection.body.prefetch(self._n_buffered_max_bytes)
         except ConnectionLostError as error:
@@ -213,9 +217,9 @@
         """Return whether a reused connection broke before its request was run.
 
         A connection also breaks if a target fails after it has run the request. If the
-        request were sent again here, it would run twice, and neither the route's
-        attempts nor the retry budget would count it: a service whose answers get lost
-        would be given more work than the budget allows.
+        request were sent again here, it would run twice, and neither the route's limit
+        on attempts nor the retry budget would count it: a service whose answers get
+        lost would be given more work than the budget allows.
         """
         if not self._is_sent:
             return True
