--- a/packages/pepperstair-callers/pepperstair_callers/proxy.py
+++ b/packages/pepperstair-callers/pepperstair_callers/proxy.py
@@ -127,7 +127,7 @@
         """Delay a request until the starting daemon can route it, up to a limit.
 
         A daemon that restarts after a kill receives its configuration and targets some
-        tenths of a second after it starts to listen. If it refused requests meanwhile,
+        tenths of a second after it starts to listen. If it refused requests until then,
         each of its callers would lose a second and use up one of its few retries; after
         a kill of all daemons, this would affect every caller.
         """
--- a/packages/pepperstair-callers/pepperstair_callers/request_body.py
+++ b/packages/pepperstair-callers/pepperstair_callers/request_body.py
@@ -19,7 +19,7 @@
 
 
 class RequestBody:
-    """The body of a request, which is sent again on a retry if it is replayable."""
+    """A request's body, which is sent again on a retry if the body is replayable."""
 
     __slots__ = (
         "_buffered",
--- a/packages/pepperstair-http/pepperstair_http/connection.py
+++ b/packages/pepperstair-http/pepperstair_http/connection.py
@@ -160,7 +160,7 @@
         return self._server.is_repeatable(request)
 
     async def write(self, data: bytes) -> None:
-        """Write at the client's pace; raise ConnectionResetError once it has closed."""
+        """Write at the client's pace; raise ConnectionResetError after a disconnect."""
         if self._transport is None or self._transport.is_closing():
             raise ConnectionResetError("the client disconnected")
         if data:
--- a/packages/pepperstair-http/pepperstair_http/exchange.py
+++ b/packages/pepperstair-http/pepperstair_http/exchange.py
@@ -32,7 +32,7 @@
         """Return whether a request may safely run twice."""
 
     async def write(self, data: bytes) -> None:
-        """Write at the client's pace; raise ConnectionResetError once it has closed."""
+        """Write at the client's pace; raise ConnectionResetError after a disconnect."""
 
     def abort(self) -> None:
         """Reset the connection immediately."""
@@ -99,7 +99,7 @@
 
     @property
     def n_waiting_answer_bytes(self) -> int:
-        """Return the number of bytes of the answer that wait for earlier answers."""
+        """Return the number of answer bytes held back until earlier answers end."""
         return self._waiting_answer.n_bytes if self._waiting_answer is not None else 0
 
     async def respond(self, status: int, headers: Headers, body: bytes) -> None:
--- a/packages/pepperstair-http/pepperstair_http/messages.py
+++ b/packages/pepperstair-http/pepperstair_http/messages.py
@@ -53,7 +53,7 @@
 
 
 def header_value(headers: Headers, name: bytes) -> bytes:
-    """Return the first value of the header with a lower-case `name`, or b""."""
+    """Return the first value of the header `name` (in lower case), or b""."""
     for key, value in headers:
         if key == name:
             return value
--- a/packages/pepperstair-http/pepperstair_http/pipeline.py
+++ b/packages/pepperstair-http/pepperstair_http/pipeline.py
@@ -35,7 +35,7 @@
 
     @property
     def n_waiting_answer_bytes(self) -> int:
-        """Return the number of bytes of the answer that wait for earlier answers."""
+        """Return the number of answer bytes held back until earlier answers end."""
 
 
 PendingT = TypeVar("PendingT", bound=Pending)
@@ -104,7 +104,7 @@
         return n_before - len(self._requests)
 
     def is_last_started(self, request: PendingT) -> bool:
-        """Return whether no later request has begun."""
+        """Return whether no request that follows `request` has begun."""
         for other in reversed(self._requests):
             if other is request:
                 return True
--- a/packages/pepperstair-peers/pepperstair_peers/control/links.py
+++ b/packages/pepperstair-peers/pepperstair_peers/control/links.py
@@ -70,7 +70,7 @@
         return current
 
     def remove(self, link: ControlLink) -> bool:
-        """Remove a link, and return whether it was the current one."""
+        """Remove a link, and return whether it was the current link to its VM."""
         if self._links.get(link.vm) is not link:
             return False
         del self._links[link.vm]
--- a/packages/pepperstair-peers/pepperstair_peers/data/link.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/link.py
@@ -298,10 +298,11 @@
             self._start_recovery(self._heartbeat_ms / 4)
 
     async def _recover(self, delay_ms: float) -> None:
-        """Open a new stream, and resend or query the calls of the lost one.
+        """Open a new stream, and resend or query the calls of the lost stream.
 
-        A call may have run once its head was written. If the process that accepted
-        it has exited or is unreachable, the call fails with `outcome_unknown`.
+        A call may have run once its head was written. It therefore fails with
+        `outcome_unknown` if the daemon is unreachable, or if the process that accepted
+        the call has exited and the call is not idempotent.
         """
         await asyncio.sleep(delay_ms / 1000)
         for _ in range(_N_RECOVERIES_MAX):
--- a/packages/pepperstair-peers/pepperstair_peers/stream.py
+++ b/packages/pepperstair-peers/pepperstair_peers/stream.py
@@ -80,7 +80,7 @@
         self.gate.open()
 
     def send(self, *frames: Any) -> None:
-        """Send frames in a single write; on a closed stream they are discarded."""
+        """Send frames in a single write, or discard them if the stream is closed."""
         if self.is_closed:
             return
         encoded = [encode_frame(frame) for frame in frames]
--- a/packages/pepperstair-platform/pepperstair_platform/acceptance.py
+++ b/packages/pepperstair-platform/pepperstair_platform/acceptance.py
@@ -214,7 +214,7 @@
 def _failure_before_commit(request: ChangeRequest, failure: Failure) -> Failure:
     """Return the failure of an attempt that did not reach its commit.
 
-    This attempt accepted nothing, but an earlier one may have been accepted.
+    This attempt accepted nothing, but an earlier attempt may have been accepted.
     """
     if request.is_asked_again:
         return Failure(ErrorKind.CHANGE_OUTCOME_UNKNOWN, failure.detail)
--- a/packages/pepperstair-platform/pepperstair_platform/rows.py
+++ b/packages/pepperstair-platform/pepperstair_platform/rows.py
@@ -57,7 +57,7 @@
 
 
 def head_row(head: Head) -> Row:
-    """Return the row that stores a head as the newest one of its customer."""
+    """Return the row that stores a head as the newest head of its customer."""
     return Row(head_key(head.customer), _head_json(head))
 
 
--- a/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
+++ b/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
@@ -90,7 +90,10 @@
         self._departures: dict[str, Departure] = {}
 
     def accept(self, announcement: Announcement) -> bool:
-        """Apply an announcement unless outdated; return whether it was applied."""
+        """Apply an announcement unless it is outdated.
+
+        Return whether the announcement was applied.
+        """
         target = announcement.target
         if not self._is_newer(announcement):
             log.info(
@@ -159,7 +162,11 @@
         return is_other and self._is_gone(newest)
 
     def _has_departed(self, announcement: Announcement) -> bool:
-        """Return whether the target sent its departure after this announcement."""
+        """Return whether the target sent its departure after this announcement.
+
+        The departure of a target that does not report its start is considered only for
+        `ANNOUNCEMENT_DELAY_MAX_MS`.
+        """
         departure = self._departures.get(announcement.target.name)
         if departure is None or announcement.order_key > departure.order_key:
             return False
@@ -171,7 +178,7 @@
 
         Without this check, a delayed announcement of an earlier target would replace
         the running target, which refuses all calls that are addressed to the earlier
-        one.
+        target.
         """
         departure = self._departures.get(newest.target.name)
         if departure is not None and departure.sequence == LAST_SEQUENCE:
--- a/packages/pepperstair-targets/pepperstair_targets/pool.py
+++ b/packages/pepperstair-targets/pepperstair_targets/pool.py
@@ -113,7 +113,7 @@
             self._idle.popleft().close()
 
     def close(self) -> None:
-        """Close the idle connections now and the others when they are returned."""
+        """Close idle connections now and those in use when they are returned."""
         self._is_closed = True
         while self._idle:
             self._idle.pop().close()
--- a/packages/pepperstair-targets/pepperstair_targets/registry.py
+++ b/packages/pepperstair-targets/pepperstair_targets/registry.py
@@ -14,7 +14,7 @@
 
 
 class _Lease(Struct, frozen=True):
-    """A target and the time at which its announcement expires."""
+    """A target and the time at which its lease expires."""
 
     target: Target
     expires_ms: int
--- a/packages/pepperstair-targets/pepperstair_targets/runner.py
+++ b/packages/pepperstair-targets/pepperstair_targets/runner.py
@@ -120,14 +120,14 @@
         return sum(local.n_in_flight for local in self._iter_all())
 
     def loads(self) -> tuple[tuple[str, int, int], ...]:
-        """Return name, number of running and number of waiting calls of each target."""
+        """Return each target's name and its numbers of running and waiting calls."""
         return tuple(
             (name, local.n_in_flight, local.slots.admission.n_queued)
             for name, local in self._local_targets.items()
         )
 
     def load_of(self, name: str) -> Load | None:
-        """Return the exact load of a target of this VM, None before its first call."""
+        """Return the exact load of a local target, or None before its first call."""
         local = self._local_targets.get(name)
         if local is None:
             return None
@@ -189,7 +189,7 @@
         self._retired = [local for local in self._retired if local.n_in_flight]
 
     def drain(self) -> None:
-        """Refuse new and waiting calls from now on; those in flight continue."""
+        """Refuse new and waiting calls from now on; calls in flight continue."""
         self.is_draining = True
         for local in self._local_targets.values():
             local.slots.drain()
@@ -348,8 +348,8 @@
     The header is omitted if the call did not wait for its slot. Target choice needs
     the latency without the wait: under overload the wait depends on the priority of
     the call and would hide which target is slow. Headers with the `pepperstair-` prefix
-    that the target itself sends are removed, as they could wrongly state that the
-    request did not run.
+    that the target itself sends are removed, because they could wrongly state that
+    the request did not run.
     """
     headers = response.headers
     if any(name.startswith(_OWN_PREFIX) for name, _ in headers):
--- a/packages/pepperstair-targets/pepperstair_targets/target_call.py
+++ b/packages/pepperstair-targets/pepperstair_targets/target_call.py
@@ -179,7 +179,7 @@
         return (*self._head.headers, *added)
 
     def _check_answer(self, answer: ResponseHead) -> None:
-        """Raise if the answer states that the request did not run, or is invalid.
+        """Raise if the answer is invalid or states that the request did not run.
 
         Another target that has taken over the address answers 421 without a signature.
         A successful answer without the target's signature, or with a content encoding
