--- a/packages/pepperstair-callers/pepperstair_callers/attempts.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempts.py
@@ -172,9 +172,8 @@
     def _is_retry_worthwhile(self, response: StreamedResponse) -> bool:
         """Return whether to retry a failure answer on another target.
 
-        A target that fails only some of its requests appears healthy and stays in
-        use. Without the retry, callers would receive errors that the other targets
-        would not have returned.
+        A target that fails only some of its requests appears healthy. Without the
+        retry, callers would receive errors that other targets would not have returned.
         """
         return (
             response.status in FAILED_STATUSES
