--- a/packages/pepperstair-targets/pepperstair_targets/runner.py
+++ b/packages/pepperstair-targets/pepperstair_targets/runner.py
@@ -84,7 +84,8 @@
     """Runs calls on local targets, within the slots of each target.
 
     `policy_of` returns the policy of a customer for a target. Refusals are added to the
-    decision log, at most one entry a second for each target, with their count.
+    decision log, at most one entry a second for each target; an entry states the number
+    of refusals since the previous entry.
     `on_crash` is called with a target that has exited and the fingerprints of the calls
     it was running, `on_cleared` with the record of a suspect request that was answered.
     """
@@ -119,14 +120,14 @@
         return sum(local.n_in_flight for local in self._iter_all())
 
     def loads(self) -> tuple[tuple[str, int, int], ...]:
-        """Return name, number of running and number of waiting calls of each target."""
+        """Return each target's name and its numbers of running and waiting calls."""
         return tuple(
             (name, local.n_in_flight, local.slots.admission.n_queued)
             for name, local in self._local_targets.items()
         )
 
     def load_of(self, name: str) -> Load | None:
-        """Return the exact load of a target of this VM, None before its first call."""
+        """Return the exact load of a local target, or None before its first call."""
         local = self._local_targets.get(name)
         if local is None:
             return None
@@ -188,7 +189,7 @@
         self._retired = [local for local in self._retired if local.n_in_flight]
 
     def drain(self) -> None:
-        """Refuse new and waiting calls from now on; those in flight continue."""
+        """Refuse new and waiting calls from now on; calls in flight continue."""
         self.is_draining = True
         for local in self._local_targets.values():
             local.slots.drain()
@@ -204,9 +205,9 @@
             raise PepperstairError(refusal)
 
     def _refuse_unsafe(self, head: CallHead, local: LocalTarget, now_ms: float) -> None:
-        """Refuse a call that is quarantined or must not run concurrently with others.
+        """Refuse a quarantined call, or a suspect call while another one is running.
 
-        Suspects run one at a time.
+        Suspect calls run one at a time on a target.
         """
         self._refuse_quarantined(head, now_ms)
 
@@ -226,8 +227,8 @@
     ) -> Failure:
         """Return the failure of a call whose connection broke.
 
-        A draining or deregistered target may exit with unfinished calls; that is no
-        crash.
+        A draining or deregistered target may exit with unfinished calls; this is
+        not a crash.
         """
         target = self._registry.get(local.target.name, self._now_ms())
         if target is None or target.state is TargetState.DRAINING:
@@ -239,7 +240,8 @@
     def _on_exited(self, local: LocalTarget, running: tuple[bytes, ...]) -> None:
         """Report the calls that may have crashed a target and deregister the target.
 
-        Otherwise every other daemon would detect the exit only by its own failed calls.
+        Without the deregistration, every other daemon would detect the exit only when
+        its own calls fail.
         """
         self.n_crashes += 1
         self.on_crash(local.target.name, running)
@@ -257,8 +259,8 @@
 
         Calls for a draining target are refused here: a daemon that has not received the
         draining state yet is notified by the refusal, and no work is lost. The lease
-        is checked for each call, as this process may have been paused while the lease
-        lapsed and its timers may not have run yet.
+        is checked for each call because, after a pause of this process, the lease may
+        have lapsed although the timer that removes the target has not run yet.
         """
         if self.is_draining:
             raise _not_run(ErrorKind.DRAINING, head.target)
@@ -346,8 +348,8 @@
     The header is omitted if the call did not wait for its slot. Target choice needs
     the latency without the wait: under overload the wait depends on the priority of
     the call and would hide which target is slow. Headers with the `pepperstair-` prefix
-    that the target itself sends are removed, as they could wrongly state that the
-    request did not run.
+    that the target itself sends are removed, because they could wrongly state that
+    the request did not run.
     """
     headers = response.headers
     if any(name.startswith(_OWN_PREFIX) for name, _ in headers):
