--- a/emulator/pepperstair_emulator/clock.py
+++ b/emulator/pepperstair_emulator/clock.py
@@ -24,7 +24,7 @@
         self._sequence_numbers = itertools.count()
 
     def call_at(self, at_ms: float, callback: Callback) -> None:
-        """Schedule a callback at a time; a past time means now."""
+        """Schedule a callback at a time, or now if that time has passed."""
         entry = (max(at_ms, self.now_ms), next(self._sequence_numbers), callback)
         heapq.heappush(self._events, entry)
 
--- a/emulator/pepperstair_emulator/fleet.py
+++ b/emulator/pepperstair_emulator/fleet.py
@@ -154,8 +154,8 @@
         on_done: Callable[[Outcome], None],
     ) -> None:
         """Send a request to a daemon.
-
-        The latency objective counts from `first_sent_ms`, also for retries.
+        The latency objective of a retry is measured from `first_sent_ms` too, the time
+        when the client first sent the request.
         """
         now_ms = self.clock.now_ms
         deadline_ms = min(client_deadline_ms, now_ms + route.timeout_ms)
--- a/emulator/pepperstair_emulator/targets.py
+++ b/emulator/pepperstair_emulator/targets.py
@@ -71,7 +71,7 @@
         wanted_ms: float,
         on_verdict: AdmissionCallback,
     ) -> None:
-        """Request a slot; `on_verdict` receives None on admission, or the refusal."""
+        """Request a slot; `on_verdict` receives None if admitted, else the refusal."""
         ticket = next(self._tickets)
         self._waiting[ticket] = on_verdict
         now_ms = self._clock.now_ms
@@ -89,8 +89,8 @@
 
     def release_slot(self, route: RouteModel, service_ms: float | None) -> None:
         """Release the slot of a call.
-
-        `service_ms` is None if the call says nothing about the target's speed.
+        `service_ms` is how long the target took for the call, or None if the call gives
+        no information about the target's speed, as when the target is unreachable.
         """
         now_ms = self._clock.now_ms
         self._deliver_verdicts(
--- a/packages/pepperstair-cli/pepperstair_cli/formatting.py
+++ b/packages/pepperstair-cli/pepperstair_cli/formatting.py
@@ -20,7 +20,7 @@
 
 
 def format_duration(duration_ms: int) -> str:
-    """Return a duration in the largest unit that is not longer than it.
+    """Return a duration in the largest unit that is not longer than the duration.
 
     >>> format_duration(5400_000)
     '1.5 h'
--- a/packages/pepperstair-operators/pepperstair_operators/client.py
+++ b/packages/pepperstair-operators/pepperstair_operators/client.py
@@ -56,14 +56,19 @@
 
 
 def _no_reply(method: str, detail: str) -> Failure:
-    """Return the failure for a missing answer: only a change has an unknown outcome."""
+    """Return the failure for a request without a valid answer.
+    The outcome of a change is unknown then. A `GET` changes nothing, so its failure
+    only says that the daemon is unreachable.
+    """
     is_read = method == "GET"
     kind = ErrorKind.PEER_UNREACHABLE if is_read else ErrorKind.CHANGE_OUTCOME_UNKNOWN
     return Failure(kind, detail)
 
 
 def _read_reply(method: str, response: Response) -> Result[Reply, Failure]:
-    """Parse an answer; return a failure if it is not JSON, so not from a daemon."""
+    """Parse an answer; return a failure if it is not JSON.
+    Daemons answer with JSON only, so any other answer is from another program.
+    """
     try:
         return Ok(Reply(response.status, json.loads(response.body)))
     except ValueError:
--- a/packages/pepperstair-operators/pepperstair_operators/server.py
+++ b/packages/pepperstair-operators/pepperstair_operators/server.py
@@ -107,8 +107,7 @@
 
 
 def _parse_location(target: str) -> Result[_Location, Failure]:
-    """Split a request target into path and query, or fail if it does not decode.
-
+    """Split a request target into path and query, or return why it is invalid.
     A name with an invalid percent-escape would otherwise be decoded to another name,
     and the operator would change the wrong customer.
     """
@@ -125,9 +124,8 @@
 
 def query_version(request: OperatorRequest, name: str) -> Result[int | None, Failure]:
     """Parse the version in the query parameter `name`; None if it is absent.
-
-    An invalid version must not be treated as absent: a change would then be made
-    whatever the newest version is, and undo the change of another operator.
+    An invalid version must not be treated as absent: the change would then be accepted
+    regardless of the newest version, and could undo the change of another operator.
     """
     text = request.query.get(name)
     if text is None:
--- a/packages/pepperstaird/pepperstaird/configuration/agent.py
+++ b/packages/pepperstaird/pepperstaird/configuration/agent.py
@@ -118,7 +118,7 @@
         return self.distribution.floor.reached_by.value
 
     def start(self) -> None:
-        """Register the callbacks of the control plane and start the tasks."""
+        """Register callbacks with the control plane and start the tasks."""
         control = self._control
         control.neighbour_up_callbacks.append(lambda vm: self._handle(NeighbourUp(vm)))
         control.neighbour_down_callbacks.append(self._on_neighbour_down)
@@ -147,9 +147,9 @@
 
     async def accept(self, change: ChangeRequest) -> Result[Accepted, Failure]:
         """Commit a change on the platform and distribute it, or return the failure.
-
-        A change that is already in force here is answered without the platform,
-        so a retry after a lost answer succeeds during an outage too.
+        A change that is already in force on this daemon is answered without a call to
+        the platform, so a caller that lost the answer can retry successfully even
+        during an outage of the platform.
         """
         repeated = self._find_accepted(change)
         if repeated is not None:
@@ -182,8 +182,7 @@
         return self._in_force.get(customer)
 
     def collect(self, customer: str, version: int) -> AcknowledgementCollection:
-        """Start collecting acknowledgements from the VMs with a version in force.
-
+        """Start collecting acknowledgements from the VMs that have a version in force.
         The first inquiry to the fleet is sent without delay.
         """
         distribution = self.distribution
@@ -203,7 +202,10 @@
         return labels
 
     def age_ms(self) -> int:
-        """Return -1 (unknown): heads are polled together, not confirmed by customer."""
+        """Return -1 (unknown).
+        The heads of all customers are polled together, so no time is known at which the
+        version of one customer was confirmed as the newest.
+        """
         return -1
 
     def counters(self) -> dict[str, int]:
--- a/packages/pepperstaird/pepperstaird/configuration/change_queues.py
+++ b/packages/pepperstaird/pepperstaird/configuration/change_queues.py
@@ -17,10 +17,10 @@
 
 class ChangeQueues:
     """Serializes the parsing and the commit of changes per customer.
-
-    Changes of one customer can't be accepted concurrently anyway, as each takes
-    the next version. Without a queue, a burst of large documents of one customer
-    would be parsed all at once and block the event loop for everybody else.
+    Changes of one customer can't be accepted concurrently anyway, because each change
+    creates the version after the newest one. Without a queue, the daemon would parse a
+    burst of large documents of one customer all at once, which would block the event
+    loop and delay the requests of all other customers.
     """
 
     def __init__(self) -> None:
--- a/packages/pepperstaird/pepperstaird/crash_reports.py
+++ b/packages/pepperstaird/pepperstaird/crash_reports.py
@@ -27,10 +27,10 @@
 
 class CrashReports:
     """Distributes crash records through the fleet, from neighbour to neighbour.
-
-    Each daemon forwards records that are new to it, and sends a new neighbour all
-    open ones (those not cleared of every crash). A quarantined request is persisted on
-    the platform too, as the record would be lost if all daemons were killed.
+    Each daemon forwards records that are new to it. It sends all open records to a new
+    neighbour; a record is open if its request may have caused any of its crashes. A
+    quarantined request is persisted on the platform too, as the record would be lost if
+    all daemons were killed.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Register the callbacks of the control plane and read the platform's rows."""
+        """Register callbacks with the control plane and read the platform's rows."""
         self._control.on_crash_records = self._handle_frame
         self._control.neighbour_up_callbacks.append(self._send_open_records)
         self._rows.start(self._restore)
@@ -117,9 +117,9 @@
 
     def _report_quarantined(self, quarantined: bytes) -> None:
         """Log a quarantined request; save its row if a target of this VM has crashed.
-
-        If crashes coincide, their sum may first reach the threshold on a daemon that
-        detected none of them, so each daemon that detected one saves the row.
+        If several daemons detect crashes at the same time, the number of crashes may
+        first reach the threshold on a daemon that detected none of them. Therefore each
+        daemon that detected one of the crashes saves the row.
         """
         record = self._quarantine.get(quarantined)
         own = f"{self._identity.vm}/{self._identity.start_id}/"
@@ -141,7 +141,7 @@
         )
 
     def _send_open_records(self, vm: str) -> None:
-        """Send a new neighbour the open records; it does not need cleared ones."""
+        """Send the open records to a new neighbour, which needs no cleared ones."""
         records = self._quarantine.records()
         self._send_records(vm, (each for each in records if each.is_open))
 
--- a/packages/pepperstaird/pepperstaird/daemon.py
+++ b/packages/pepperstaird/pepperstaird/daemon.py
@@ -290,7 +290,9 @@
         log.info(Event.STARTED, peer_address=self.identity.peer_address)
 
     async def stop(self) -> None:
-        """Finish the calls in flight, refuse new ones as not run, then close."""
+        """Finish the calls in flight, refuse new calls, then close.
+        A refused call is answered as not run.
+        """
         await stop_daemon(self)
 
     def close(self) -> None:
--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -1,9 +1,9 @@
 """Acknowledged departures of targets, persisted on the platform.
-
-An acknowledgement has to outlive the process: a daemon that restarts right after
-it has lost its state, and earlier announcements of the target may still arrive.
-If it accepted them, it would route requests to a target that is about to exit, and
-these would be aborted seconds after the target announced its departure.
+An acknowledgement of a departure has to outlive the process. A daemon that restarts
+right after it has acknowledged a departure has lost its state, while earlier
+announcements of the target may still arrive. If the daemon accepted these
+announcements, it would route requests to a target that is about to exit, and the
+requests would be aborted seconds after the target announced its departure.
 """
 
 from __future__ import annotations
@@ -37,9 +37,8 @@
 
 class DepartureRows:
     """Persists the departures of this VM's targets in one row.
-
-    The row of an earlier process of this VM is read before the first announcement
-    is accepted. With `is_first_start` there was no such process.
+    The row of an earlier process of this VM is read before the first announcement is
+    accepted. If `is_first_start` is set, there was no such process and no row is read.
     """
 
     def __init__(
@@ -66,17 +65,15 @@
 
     async def wait_restored(self) -> None:
         """Wait for up to `WAIT_MAX_S` until the row has been read.
-
         During an outage of the platform the row is unavailable. The daemon then serves
-        its target without it: a delayed announcement is rare and does less harm than a
-        daemon that waits for the platform.
+        its target without the row: a delayed announcement that it accepts by mistake is
+        rare, and does less harm than a daemon that waits until the outage ends.
         """
         if not self._start_restore().done():
             await asyncio.wait([self._start_restore()], timeout=WAIT_MAX_S)
 
     async def save(self) -> None:
-        """Write changed departures, and wait for that up to `WAIT_MAX_S`.
-
+        """Write changed departures, and wait up to `WAIT_MAX_S` for the write.
         A write that takes longer continues in the background.
         """
         current = self._current_departures()
@@ -95,10 +92,10 @@
         return self._restore_task
 
     def _current_departures(self) -> frozenset[tuple[str, int, bool]]:
-        """Return the content that the row needs.
-
-        Sequences are reduced to whether they are the last one, as a draining target
-        repeats its announcement and needs no write for each.
+        """Return the departures reduced to what decides whether to write the row.
+        A draining target repeats its announcement with a new sequence each time. To
+        avoid a write for each of them, the result holds only whether the sequence is
+        `LAST_SEQUENCE`, not the sequence itself.
         """
         return frozenset(
             (item.name, item.start_ms, item.sequence == LAST_SEQUENCE)
@@ -136,7 +133,7 @@
         await self._delete_expired()
 
     async def _delete_expired(self) -> None:
-        """Delete rows that had expired at the start, such as those of removed VMs."""
+        """Delete the rows that had expired when read, such as those of removed VMs."""
         expired_keys, self._expired_keys = self._expired_keys, []
         await delete_batch(self._table, expired_keys)
 
--- a/packages/pepperstaird/pepperstaird/dependencies.py
+++ b/packages/pepperstaird/pepperstaird/dependencies.py
@@ -63,7 +63,7 @@
         """Return the snapshot in force of a customer."""
 
     def age_ms(self) -> int:
-        """Return how long ago the version in force was the newest, -1 if unknown."""
+        """Return how long ago this version was known to be newest, -1 if unknown."""
 
     def counters(self) -> dict[str, int]:
         """Return the counts that `status` and the metrics show."""
--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -42,13 +42,13 @@
 
 class DocumentExchange:
     """Announces, pulls and sends versions of the document among neighbours.
-
-    `offer` processes a document that a neighbour sent, together with the neighbour's
+    `offer` is called with each document that a neighbour sent and with the neighbour's
     VM, and `is_watching` returns whether this daemon's own watch delivers new versions.
     `position` is the newest known position in the history of the table. With a
-    `schedule`, confirmations that a version was the newest are forwarded too. While
-    `is_newest_known` is false, this daemon can't read the newest version and confirms
-    nothing; other daemons may be able to.
+    `schedule`, confirmations that a version was the newest are forwarded too.
+    `is_newest_known` is false after this daemon has rejected the newest version in the
+    table, which other daemons may accept; meanwhile it does not confirm its own version
+    as the newest.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         self.is_newest_known = True
 
     def start(self) -> None:
-        """Register the callbacks of the control plane."""
+        """Register callbacks with the control plane."""
         self._control.neighbour_up_callbacks.append(self._send_state)
         self._control.neighbour_down_callbacks.append(self._on_neighbour_down)
         self._control.on_configuration_frame = self._on_frame
@@ -108,7 +108,7 @@
         self._announce(document.version)
 
     def age_ms(self) -> int:
-        """Return how long ago the version in force was the newest, -1 if unknown."""
+        """Return how long ago this version was known to be newest, -1 if unknown."""
         if self._schedule is None or not self._schedule.is_confirmed:
             return -1
         if not self.is_newest_known:
@@ -163,7 +163,7 @@
             self._control.send(vm, self._freshness_frame())
 
     def _on_neighbour_down(self, vm: str) -> None:
-        """Repeat a pull at another neighbour if the lost one has not answered it."""
+        """Send a pull that the lost neighbour has not answered to another neighbour."""
         self._pending_pulls.pop(vm, None)
         if vm in self._sources:
             self._sources.remove(vm)
@@ -176,9 +176,8 @@
 
     def _on_frame(self, vm: str, frame: Any) -> None:
         """Handle a frame of a neighbour.
-
-        Without this exchange, a daemon whose requests the platform rejects, or whose
-        watch hangs, would route by an old version for as long as that lasts.
+        Without this exchange, a daemon would route by an old version as long as the
+        platform rejects its requests or its watch hangs.
         """
         version = self._following.version
         match frame:
@@ -212,9 +211,9 @@
 
     def _update_since(self, held_version: int) -> DocumentCopy | DocumentDelta:
         """Return an update to the version in force for a neighbour.
-
-        It is a delta if `held_version` is among the recent ones and the delta is small
-        enough, else a full copy. Each is compressed once for all neighbours.
+        The update is a delta if `held_version` is among the recent versions and the
+        delta is small enough, else a full copy. The copy, and the delta from each
+        version, are compressed once for all neighbours.
         """
         data = self._following.document.data
         position, age_ms = self.position or 0, self.age_ms()
--- a/packages/pepperstaird/pepperstaird/early_listening.py
+++ b/packages/pepperstaird/pepperstaird/early_listening.py
@@ -1,9 +1,8 @@
 """Opens the listening socket for callers before the rest of the daemon is imported.
-
 Imports take most of the time to restart a killed daemon. Until the daemon listens, the
-kernel refuses connections, and callers with few retries use them up. With the socket
-open from the start, their connections wait in its backlog until the daemon accepts
-them.
+kernel refuses connections, and callers that retry only a few times exhaust their
+retries. If the socket is open from the start, the connections of callers wait in its
+backlog until the daemon accepts them.
 """
 
 from __future__ import annotations
@@ -17,8 +16,7 @@
 
 
 def open_callers_socket(text: str) -> socket.socket | None:
-    """Return a socket that listens on the callers' address, or None.
-
+    """Return a socket that listens on the callers' address, or None if that fails.
     `text` is the TOML text of settings that are not validated yet. Faults in it are
     reported later, when the settings are parsed.
     """
@@ -31,8 +29,8 @@
 
 def open_listening_socket(address: str) -> socket.socket | None:
     """Return a socket that listens on an address, or None if that fails.
-
-    The daemon then binds the address itself during its start and reports the error.
+    After a failure the daemon binds the address itself later in its start, and reports
+    the error if that fails too.
     """
     host, separator, port = address.rpartition(":")
     if not separator or not port.isdecimal():
--- a/packages/pepperstaird/pepperstaird/follower.py
+++ b/packages/pepperstaird/pepperstaird/follower.py
@@ -69,14 +69,14 @@
 
 class ConfigurationFollower:
     """Keeps the newest document in force, from the table or from neighbours.
-
-    `key` names the row of the table that holds the document. `on_document` is
-    called after each version that was put in force; `document` is then that version.
+    `key` names the row of the table that holds the document. `on_document` is called
+    after each version that was put in force; `document` is then that version.
     `transfer_s` returns the seconds that the VM's link takes to transfer a number of
-    bytes of a document. `must_watch` returns whether this daemon has to watch the
-    table regardless of its link, as others or the daemon itself may depend on that.
-    With a `schedule` the fleet shares its reads; `reader_rank` then returns this
-    daemon's rank in the order of readers. Without one, each daemon watches the table.
+    bytes of a document. `must_watch` returns whether this daemon has to watch the table
+    regardless of its link speed, because the daemon itself or other daemons may depend
+    on that watch for new versions. With a `schedule` the fleet shares its reads;
+    `reader_rank` then returns this daemon's rank in the order of readers. Without one,
+    each daemon watches the table.
     """
 
     def __init__(
@@ -151,9 +151,8 @@
 
     def catch_up(self) -> None:
         """Read the table again without delay.
-
-        After a pause of this process the answer to its watch may be lost, and
-        routes that are a minute old would stay in force until the next answer.
+        After a pause of this process the answer to its watch may be lost. Without a new
+        read, routes that are a minute old would stay in force until the next answer.
         """
         if self._watch_task is not None:
             self._watch_task.cancel()
@@ -271,18 +270,18 @@
 
     def _watches_continuously(self) -> bool:
         """Return whether this daemon watches the table continuously.
-
-        Daemons on fast links do, and so does one of each availability zone. As all
-        others poll at different moments, the fleet detects a version immediately.
+        Daemons on fast links watch continuously, and so does one daemon of each
+        availability zone. All other daemons poll, each at a different moment. Together
+        they detect a new version immediately.
         """
         if self.document is None or self._must_watch():
             return True
         return self._transfer_s(len(self.document.data)) <= _WATCHED_TRANSFER_MAX_S
 
     async def _pause_unless_watching(self, pause_ms: int) -> int:
-        """Pause, and return the duration of the next watch in ms, 0 for a poll.
-
-        The pause ends early if this daemon has to watch continuously.
+        """Pause, and return the duration of the watch that follows in ms, 0 for a poll.
+        The pause ends early if this daemon has to watch continuously by then; only in
+        this case a watch follows.
         """
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + pause_ms / 1000
--- a/packages/pepperstaird/pepperstaird/hangup.py
+++ b/packages/pepperstaird/pepperstaird/hangup.py
@@ -7,12 +7,11 @@
 
 def ignore_hangup() -> None:
     """Ignore SIGHUP until the daemon installs its own handler.
-
     SIGHUP announces changed settings, and its default action ends the process. A VM
     whose daemon was just killed may receive the signal while the next daemon imports
-    its modules, which takes some tenths of a second; ending that process would leave
-    the VM without a daemon for that time again. Ignoring the signal loses no change,
-    as the settings are read later.
+    its modules, which takes some tenths of a second; if the signal ended that process,
+    the VM would be without a daemon for the same time again. Ignoring the signal loses
+    no change, as the settings are read later.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
--- a/packages/pepperstaird/pepperstaird/member_rows.py
+++ b/packages/pepperstaird/pepperstaird/member_rows.py
@@ -1,8 +1,7 @@
 """The rows of daemons in the platform's table, for discovery.
-
-The rows only help daemons discover each other where the seeds of the settings do
-not. Liveness never depends on them, and an outage of the platform disables nothing
-but discovery.
+The rows only help daemons discover each other if the seeds in the settings are not
+enough. Liveness never depends on the rows, and an outage of the platform disables
+discovery through the rows only.
 """
 
 from __future__ import annotations
@@ -41,10 +40,10 @@
 
 
 class MemberRows:
-    """Writes this daemon's row, and reads the others for discovery and as the sweeper.
-
-    The sweeper deletes the rows of daemons that no longer write them. With
-    `is_first_start` there is no row of an earlier process.
+    """Writes this daemon's row, and reads the rows of the other daemons.
+    A daemon reads the rows to discover members, and to delete the rows of daemons that
+    no longer write them if it is the sweeper. If `is_first_start` is set, there is no
+    row of an earlier process.
     """
 
     def __init__(
--- a/packages/pepperstaird/pepperstaird/quarantine_rows.py
+++ b/packages/pepperstaird/pepperstaird/quarantine_rows.py
@@ -24,9 +24,8 @@
 
 class QuarantineRows:
     """Persists one row for each quarantined request.
-
-    With `is_first_start` nothing is read at the start, as there was no earlier
-    process.
+    If `is_first_start` is set, no rows are read at the start, because there was no
+    earlier process of this daemon.
     """
 
     def __init__(
--- a/packages/pepperstaird/pepperstaird/stopping.py
+++ b/packages/pepperstaird/pepperstaird/stopping.py
@@ -22,11 +22,12 @@
 
 
 async def stop_daemon(daemon: Daemon) -> None:
-    """Finish the calls in flight, refuse new ones as not run, then close.
+    """Finish the calls in flight, refuse new calls, then close.
+    A refused call is answered as not run.
 
-    Whatever routes callers to this daemon, and other daemons that send it calls, are
-    notified of the stop with a delay; until `stop_notice_ms` has passed, new calls are
-    served as before.
+    Whichever component routes callers to this daemon (such as a load balancer), and
+    other daemons that send it calls, detect the stop with a delay. Therefore new calls
+    are served as before until `stop_notice_ms` has passed.
     """
     log.info(Event.STOPPING)
     daemon.is_stopping = True
@@ -45,10 +46,9 @@
 
 
 async def _wait_for_calls(daemon: Daemon) -> None:
-    """Return once no call is in flight, or when the drain timeout ends.
-
-    Other daemons receive the departure of this one with a delay. A call that they
-    send in the meantime is refused as not run; if its stream were already closed, its
+    """Wait until no call is in flight, for at most the drain timeout.
+    Other daemons receive the departure of this one with a delay. A call that they send
+    in the meantime is refused as not run; if its stream were already closed, its
     outcome would be unknown to its caller.
     """
     timeout_ms = daemon.settings.calls.drain_timeout_ms
--- a/packages/pepperstaird/pepperstaird/timings.py
+++ b/packages/pepperstaird/pepperstaird/timings.py
@@ -17,9 +17,8 @@
 
 
 class DurationHistogram:
-    """Histogram of durations whose percentiles are exact to a tenth.
-
-    Each bucket bound is a tenth larger than the previous one.
+    """Histogram of durations whose percentiles are accurate to 10 %.
+    Each bucket bound is 10 % larger than the previous one.
 
     >>> histogram = DurationHistogram()
     >>> for _ in range(100):
