--- a/emulator/pepperstair_emulator/fleet.py
+++ b/emulator/pepperstair_emulator/fleet.py
@@ -44,8 +44,8 @@
     def load_of(self, endpoint: Endpoint) -> Load | None:
         """Return the load of a target.
 
-        The load of the target on the daemon's own VM is current; that of others
-        is from the last answer or the last heartbeat, whichever came later.
+        The load of the target on the daemon's own VM is current. The load of any other
+        target is from its last answer or last heartbeat, whichever came later.
         """
         if endpoint.vm == self.vm:
             return self._fleet.targets[endpoint.vm].load
@@ -154,6 +154,7 @@
         on_done: Callable[[Outcome], None],
     ) -> None:
         """Send a request to a daemon.
+
         The latency objective of a retry is measured from `first_sent_ms` too, the time
         when the client first sent the request.
         """
--- a/emulator/pepperstair_emulator/targets.py
+++ b/emulator/pepperstair_emulator/targets.py
@@ -89,6 +89,7 @@
 
     def release_slot(self, route: RouteModel, service_ms: float | None) -> None:
         """Release the slot of a call.
+
         `service_ms` is how long the target took for the call, or None if the call gives
         no information about the target's speed, as when the target is unreachable.
         """
--- a/packages/pepperstair-cli/pepperstair_cli/__main__.py
+++ b/packages/pepperstair-cli/pepperstair_cli/__main__.py
@@ -69,6 +69,7 @@
 
 def _discard_output() -> None:
     """Redirect standard output to the null device after its reader closed the pipe.
+
     The interpreter flushes buffered output on exit. If the reader has closed the pipe,
     as in `pepperstair get lantern | head`, the flush would fail and print a traceback.
     """
--- a/packages/pepperstair-cli/pepperstair_cli/documents.py
+++ b/packages/pepperstair-cli/pepperstair_cli/documents.py
@@ -45,7 +45,7 @@
 
 
 def read_text(file: Path) -> Result[str, CommandFailure]:
-    """Read a UTF-8 text file; a file that cannot be read is bad input."""
+    """Read a UTF-8 text file; a file that can't be read is invalid input."""
     try:
         return Ok(file.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
--- a/packages/pepperstair-operators/pepperstair_operators/client.py
+++ b/packages/pepperstair-operators/pepperstair_operators/client.py
@@ -57,6 +57,7 @@
 
 def _no_reply(method: str, detail: str) -> Failure:
     """Return the failure for a request without a valid answer.
+
     The outcome of a change is unknown then. A `GET` changes nothing, so its failure
     only says that the daemon is unreachable.
     """
@@ -67,6 +68,7 @@
 
 def _read_reply(method: str, response: Response) -> Result[Reply, Failure]:
     """Parse an answer; return a failure if it is not JSON.
+
     Daemons answer with JSON only, so any other answer is from another program.
     """
     try:
--- a/packages/pepperstair-operators/pepperstair_operators/server.py
+++ b/packages/pepperstair-operators/pepperstair_operators/server.py
@@ -108,6 +108,7 @@
 
 def _parse_location(target: str) -> Result[_Location, Failure]:
     """Split a request target into path and query, or return why it is invalid.
+
     A name with an invalid percent-escape would otherwise be decoded to another name,
     and the operator would change the wrong customer.
     """
@@ -124,6 +125,7 @@
 
 def query_version(request: OperatorRequest, name: str) -> Result[int | None, Failure]:
     """Parse the version in the query parameter `name`; None if it is absent.
+
     An invalid version must not be treated as absent: the change would then be accepted
     regardless of the newest version, and could undo the change of another operator.
     """
--- a/packages/pepperstaird/pepperstaird/configuration/agent.py
+++ b/packages/pepperstaird/pepperstaird/configuration/agent.py
@@ -147,6 +147,7 @@
 
     async def accept(self, change: ChangeRequest) -> Result[Accepted, Failure]:
         """Commit a change on the platform and distribute it, or return the failure.
+
         A change that is already in force on this daemon is answered without a call to
         the platform, so a caller that lost the answer can retry successfully even
         during an outage of the platform.
@@ -183,6 +184,7 @@
 
     def collect(self, customer: str, version: int) -> AcknowledgementCollection:
         """Start collecting acknowledgements from the VMs that have a version in force.
+
         The first inquiry to the fleet is sent without delay.
         """
         distribution = self.distribution
@@ -203,6 +205,7 @@
 
     def age_ms(self) -> int:
         """Return -1 (unknown).
+
         The heads of all customers are polled together, so no time is known at which the
         version of one customer was confirmed as the newest.
         """
--- a/packages/pepperstaird/pepperstaird/configuration/change_queues.py
+++ b/packages/pepperstaird/pepperstaird/configuration/change_queues.py
@@ -17,6 +17,7 @@
 
 class ChangeQueues:
     """Serializes the parsing and the commit of changes per customer.
+
     Changes of one customer can't be accepted concurrently anyway, because each change
     creates the version after the newest one. Without a queue, the daemon would parse a
     burst of large documents of one customer all at once, which would block the event
--- a/packages/pepperstaird/pepperstaird/configuration/records.py
+++ b/packages/pepperstaird/pepperstaird/configuration/records.py
@@ -18,6 +18,7 @@
 
 class VersionRecord(Struct, frozen=True):
     """One version, its origin and the time when it went in force on this daemon.
+
     `learnt_from` is the VM of the neighbour that sent the version, this VM if this
     daemon accepted the change, or `platform`. `in_force_at_ms` is in Unix milliseconds.
     `convergence_ms` is known on the daemon that accepted the change, and on those that
--- a/packages/pepperstaird/pepperstaird/configuration/source.py
+++ b/packages/pepperstaird/pepperstaird/configuration/source.py
@@ -38,6 +38,7 @@
 
 class ConfigurationSource:
     """Reads bucket tokens, heads and objects, and reports each result as an event.
+
     A bucket token is the row `bell/<bucket>`, which changes whenever any head of the
     bucket changes.
     """
--- a/packages/pepperstaird/pepperstaird/configuration_operations.py
+++ b/packages/pepperstaird/pepperstaird/configuration_operations.py
@@ -111,6 +111,7 @@
     daemon: Daemon, customer: str, route: str
 ) -> dict[str, Any] | None:
     """Return the origin of a customer's version in force and the scope of a route.
+
     The scope is whether this proxy carries the route, with the selector and the labels
     that decide it. Return None if no version of the customer is in force.
     """
--- a/packages/pepperstaird/pepperstaird/crash_reports.py
+++ b/packages/pepperstaird/pepperstaird/crash_reports.py
@@ -27,6 +27,7 @@
 
 class CrashReports:
     """Distributes crash records through the fleet, from neighbour to neighbour.
+
     Each daemon forwards records that are new to it. It sends all open records to a new
     neighbour; a record is open if its request may have caused any of its crashes. A
     quarantined request is persisted on the platform too, as the record would be lost if
@@ -69,7 +70,7 @@
     def report_crash(self, target: str, running: tuple[bytes, ...]) -> None:
         """Record the crash of a target of this VM.
 
-        `running` holds the fingerprints of the requests that it was running.
+        `running` holds the fingerprints of the requests that the target was running.
         """
         identity = self._identity
         crash_id = f"{identity.vm}/{identity.start_id}/{next(self._crash_numbers)}"
@@ -117,6 +118,7 @@
 
     def _report_quarantined(self, quarantined: bytes) -> None:
         """Log a quarantined request; save its row if a target of this VM has crashed.
+
         If several daemons detect crashes at the same time, the number of crashes may
         first reach the threshold on a daemon that detected none of them. Therefore each
         daemon that detected one of the crashes saves the row.
--- a/packages/pepperstaird/pepperstaird/daemon.py
+++ b/packages/pepperstaird/pepperstaird/daemon.py
@@ -245,8 +245,8 @@
     def _clear_ejections_of_returned(self) -> None:
         """Clear the ejections of targets whose VM has rejoined or restarted.
 
-        An unreachable target may stay ejected for half a minute although its VM
-        has already announced that it is alive again.
+        Otherwise an unreachable target could stay ejected for half a minute after its
+        VM has announced that it is alive again.
         """
         returned = {
             member.vm: member.incarnation
@@ -291,6 +291,7 @@
 
     async def stop(self) -> None:
         """Finish the calls in flight, refuse new calls, then close.
+
         A refused call is answered as not run.
         """
         await stop_daemon(self)
@@ -343,7 +344,7 @@
         return policies.find(customer, labels)
 
     def publish_targets(self) -> None:
-        """Announce this VM's targets to the fleet; while stopping, as draining."""
+        """Announce this VM's targets to the fleet; as draining if the daemon stops."""
         self.runner.sync_with_registry()
         targets = self.registry.targets()
         if self.is_stopping:
--- a/packages/pepperstaird/pepperstaird/departure_rows.py
+++ b/packages/pepperstaird/pepperstaird/departure_rows.py
@@ -1,4 +1,5 @@
 """Acknowledged departures of targets, persisted on the platform.
+
 An acknowledgement of a departure has to outlive the process. A daemon that restarts
 right after it has acknowledged a departure has lost its state, while earlier
 announcements of the target may still arrive. If the daemon accepted these
@@ -37,6 +38,7 @@
 
 class DepartureRows:
     """Persists the departures of this VM's targets in one row.
+
     The row of an earlier process of this VM is read before the first announcement is
     accepted. If `is_first_start` is set, there was no such process and no row is read.
     """
@@ -65,6 +67,7 @@
 
     async def wait_restored(self) -> None:
         """Wait for up to `WAIT_MAX_S` until the row has been read.
+
         During an outage of the platform the row is unavailable. The daemon then serves
         its target without the row: a delayed announcement that it accepts by mistake is
         rare, and does less harm than a daemon that waits until the outage ends.
@@ -74,6 +77,7 @@
 
     async def save(self) -> None:
         """Write changed departures, and wait up to `WAIT_MAX_S` for the write.
+
         A write that takes longer continues in the background.
         """
         current = self._current_departures()
@@ -93,6 +97,7 @@
 
     def _current_departures(self) -> frozenset[tuple[str, int, bool]]:
         """Return the departures reduced to what decides whether to write the row.
+
         A draining target repeats its announcement with a new sequence each time. To
         avoid a write for each of them, the result holds only whether the sequence is
         `LAST_SEQUENCE`, not the sequence itself.
--- a/packages/pepperstaird/pepperstaird/dependencies.py
+++ b/packages/pepperstaird/pepperstaird/dependencies.py
@@ -95,7 +95,7 @@
     `make_budget_lookup` returns a function from the name of a service to its retry
     budget, `iter_servers` yields additional servers, and `reload` is called on
     SIGHUP. `follow_settings` runs as long as the daemon, if given. `service` is the
-    service of the VM's own target, which is sent as a header with forwarded requests.
+    service of the VM's own target; its name is sent in a header of forwarded requests.
     """
 
     make_platform: Callable[[Settings], PlatformClient]
--- a/packages/pepperstaird/pepperstaird/document_exchange.py
+++ b/packages/pepperstaird/pepperstaird/document_exchange.py
@@ -42,6 +42,7 @@
 
 class DocumentExchange:
     """Announces, pulls and sends versions of the document among neighbours.
+
     `offer` is called with each document that a neighbour sent and with the neighbour's
     VM, and `is_watching` returns whether this daemon's own watch delivers new versions.
     `position` is the newest known position in the history of the table. With a
@@ -176,6 +177,7 @@
 
     def _on_frame(self, vm: str, frame: Any) -> None:
         """Handle a frame of a neighbour.
+
         Without this exchange, a daemon would route by an old version as long as the
         platform rejects its requests or its watch hangs.
         """
@@ -211,6 +213,7 @@
 
     def _update_since(self, held_version: int) -> DocumentCopy | DocumentDelta:
         """Return an update to the version in force for a neighbour.
+
         The update is a delta if `held_version` is among the recent versions and the
         delta is small enough, else a full copy. The copy, and the delta from each
         version, are compressed once for all neighbours.
--- a/packages/pepperstaird/pepperstaird/early_listening.py
+++ b/packages/pepperstaird/pepperstaird/early_listening.py
@@ -1,4 +1,5 @@
 """Opens the listening socket for callers before the rest of the daemon is imported.
+
 Imports take most of the time to restart a killed daemon. Until the daemon listens, the
 kernel refuses connections, and callers that retry only a few times exhaust their
 retries. If the socket is open from the start, the connections of callers wait in its
@@ -17,6 +18,7 @@
 
 def open_callers_socket(text: str) -> socket.socket | None:
     """Return a socket that listens on the callers' address, or None if that fails.
+
     `text` is the TOML text of settings that are not validated yet. Faults in it are
     reported later, when the settings are parsed.
     """
@@ -29,6 +31,7 @@
 
 def open_listening_socket(address: str) -> socket.socket | None:
     """Return a socket that listens on an address, or None if that fails.
+
     After a failure the daemon binds the address itself later in its start, and reports
     the error if that fails too.
     """
--- a/packages/pepperstaird/pepperstaird/follower.py
+++ b/packages/pepperstaird/pepperstaird/follower.py
@@ -69,6 +69,7 @@
 
 class ConfigurationFollower:
     """Keeps the newest document in force, from the table or from neighbours.
+
     `key` names the row of the table that holds the document. `on_document` is called
     after each version that was put in force; `document` is then that version.
     `transfer_s` returns the seconds that the VM's link takes to transfer a number of
@@ -151,6 +152,7 @@
 
     def catch_up(self) -> None:
         """Read the table again without delay.
+
         After a pause of this process the answer to its watch may be lost. Without a new
         read, routes that are a minute old would stay in force until the next answer.
         """
@@ -270,6 +272,7 @@
 
     def _watches_continuously(self) -> bool:
         """Return whether this daemon watches the table continuously.
+
         Daemons on fast links watch continuously, and so does one daemon of each
         availability zone. All other daemons poll, each at a different moment. Together
         they detect a new version immediately.
@@ -280,6 +283,7 @@
 
     async def _pause_unless_watching(self, pause_ms: int) -> int:
         """Pause, and return the duration of the watch that follows in ms, 0 for a poll.
+
         The pause ends early if this daemon has to watch continuously by then; only in
         this case a watch follows.
         """
--- a/packages/pepperstaird/pepperstaird/hangup.py
+++ b/packages/pepperstaird/pepperstaird/hangup.py
@@ -7,6 +7,7 @@
 
 def ignore_hangup() -> None:
     """Ignore SIGHUP until the daemon installs its own handler.
+
     SIGHUP announces changed settings, and its default action ends the process. A VM
     whose daemon was just killed may receive the signal while the next daemon imports
     its modules, which takes some tenths of a second; if the signal ended that process,
--- a/packages/pepperstaird/pepperstaird/logs.py
+++ b/packages/pepperstaird/pepperstaird/logs.py
@@ -90,6 +90,7 @@
 
 def log_loop_error(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
     """Log an unhandled exception of a task or callback.
+
     The event loop calls this function as its exception handler. asyncio's default
     handler would print a traceback of many lines between the JSON lines. Log collectors
     drop or truncate such lines, so the error would go unnoticed.
--- a/packages/pepperstaird/pepperstaird/member_rows.py
+++ b/packages/pepperstaird/pepperstaird/member_rows.py
@@ -1,4 +1,5 @@
 """The rows of daemons in the platform's table, for discovery.
+
 The rows only help daemons discover each other if the seeds in the settings are not
 enough. Liveness never depends on the rows, and an outage of the platform disables
 discovery through the rows only.
@@ -41,6 +42,7 @@
 
 class MemberRows:
     """Writes this daemon's row, and reads the rows of the other daemons.
+
     A daemon reads the rows to discover members, and to delete the rows of daemons that
     no longer write them if it is the sweeper. If `is_first_start` is set, there is no
     row of an earlier process.
--- a/packages/pepperstaird/pepperstaird/metrics.py
+++ b/packages/pepperstaird/pepperstaird/metrics.py
@@ -73,7 +73,10 @@
 
 
 class MetricsSender:
-    """Sends counters as differences, gauges and call durations at an interval.
+    """Sends the counters, gauges and call durations of a daemon at an interval.
+
+    Counters are sent as differences from their last sent values, durations as
+    percentiles.
 
     An unavailable or slow receiver must neither delay calls nor make memory grow:
     the socket is non-blocking, and metrics that it does not accept are dropped and
@@ -113,7 +116,7 @@
         self.replace_socket(_open_socket(*address))
 
     def replace_socket(self, udp_socket: socket.socket) -> None:
-        """Close the current socket, if any, and send over another one from now on."""
+        """Close the current socket, if any, and send over `udp_socket` from now on."""
         if self._socket is not None:
             self._socket.close()
         self._socket = udp_socket
@@ -135,7 +138,7 @@
             histogram.add(outcome.duration_ms)
 
     def send(self) -> None:
-        """Send all metrics once; what the socket does not accept is dropped."""
+        """Send all metrics once, and drop those that the socket does not accept."""
         self._write_counters()
         self._write_gauges()
         self._write_durations()
--- a/packages/pepperstaird/pepperstaird/quarantine_rows.py
+++ b/packages/pepperstaird/pepperstaird/quarantine_rows.py
@@ -1,4 +1,4 @@
-"""Quarantined requests, persisted on the platform for daemons that start."""
+"""Persists quarantined requests on the platform, for daemons that start later."""
 
 from __future__ import annotations
 
@@ -24,6 +24,7 @@
 
 class QuarantineRows:
     """Persists one row for each quarantined request.
+
     If `is_first_start` is set, no rows are read at the start, because there was no
     earlier process of this daemon.
     """
--- a/packages/pepperstaird/pepperstaird/reports.py
+++ b/packages/pepperstaird/pepperstaird/reports.py
@@ -84,6 +84,7 @@
 
 def add_explain_operation(server: OperatorServer, daemon: Daemon) -> None:
     """Register an `explain` operation that explains decisions only.
+
     It is for a daemon that reads its configuration from an external document. The other
     `explain` operation also describes versions that the fleet itself distributes.
     """
--- a/packages/pepperstaird/pepperstaird/running.py
+++ b/packages/pepperstaird/pepperstaird/running.py
@@ -63,6 +63,7 @@
 
 def _ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
     """Ignore signals between the end of the event loop and the end of the process.
+
     Closing the event loop restores the default action of each signal, which ends the
     process. A signal after that would end a cleanly stopped daemon with an error code,
     and the operator would look for a crash that did not happen.
--- a/packages/pepperstaird/pepperstaird/stopping.py
+++ b/packages/pepperstaird/pepperstaird/stopping.py
@@ -23,6 +23,7 @@
 
 async def stop_daemon(daemon: Daemon) -> None:
     """Finish the calls in flight, refuse new calls, then close.
+
     A refused call is answered as not run.
 
     Whichever component routes callers to this daemon (such as a load balancer), and
@@ -47,6 +48,7 @@
 
 async def _wait_for_calls(daemon: Daemon) -> None:
     """Wait until no call is in flight, for at most the drain timeout.
+
     Other daemons receive the departure of this one with a delay. A call that they send
     in the meantime is refused as not run; if its stream were already closed, its
     outcome would be unknown to its caller.
--- a/packages/pepperstaird/pepperstaird/timings.py
+++ b/packages/pepperstaird/pepperstaird/timings.py
@@ -18,6 +18,7 @@
 
 class DurationHistogram:
     """Histogram of durations whose percentiles are accurate to 10 %.
+
     Each bucket bound is 10 % larger than the previous one.
 
     >>> histogram = DurationHistogram()
