--- a/packages/pepperstaird/pepperstaird/configuration/records.py
+++ b/packages/pepperstaird/pepperstaird/configuration/records.py
@@ -22,7 +22,7 @@
     `learnt_from` is the VM of the neighbour that sent the version, this VM if this
     daemon accepted the change, or `platform`. `in_force_at_ms` is in Unix milliseconds.
     `convergence_ms` is known on the daemon that accepted the change, and on those that
-    received a request to wait for it.
+    received a request to wait for the version.
     """
 
     head: Head
--- a/packages/pepperstaird/pepperstaird/hangup.py
+++ b/packages/pepperstaird/pepperstaird/hangup.py
@@ -10,9 +10,9 @@
 
     SIGHUP announces changed settings, and its default action ends the process. A VM
     whose daemon was just killed may receive the signal while the next daemon imports
-    its modules, which takes some tenths of a second; ending that process would leave
-    the VM without a daemon for that time again. Ignoring the signal loses no change,
-    as the settings are read later.
+    its modules, which takes some tenths of a second; if the signal ended that process,
+    the VM would be without a daemon for the same time again. Ignoring the signal loses
+    no change, as the settings are read later.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
