--- a/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
@@ -22,8 +22,9 @@
 TOLERATED_FAILURE_RATE: Final = 0.05
 # By how much failures above the tolerated rate lengthen the expected wait: the excess
 # rate times `FAILURE_FACTOR` multiplies the wait, and the excess rate times
-# `FAILURE_WAIT` is added. A target that fails a further tenth of its calls is used like
-# a target that is half as quick and half full.
+# `FAILURE_WAIT` is added. A target whose failure rate exceeds the tolerated rate by a
+# tenth of its calls is used like a target that has half the speed and half of its slots
+# occupied.
 FAILURE_FACTOR: Final = 8.0
 FAILURE_WAIT: Final = 4.0
 
--- a/packages/pepperstair-core/pepperstair_core/calls/service_times.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/service_times.py
@@ -19,9 +19,9 @@
 # about half of the answers would come too late.
 N_USEFUL_DEVIATIONS: Final = 1.0
 USEFUL_WORK_SHARE: Final = 0.7
-# A call is short if it takes less than this share of the time of the target's longest
-# calls: refusing a short call would free too little time for one of the longest calls
-# to be answered in time.
+# A call is short if it takes less than this share of the time that the target's longest
+# calls take. Refusing a short call does not free enough time for one of the longest
+# calls to be answered in time.
 SHORT_SHARE: Final = 0.25
 # Factor by which the longest service time decays with each call: it halves within 700
 # calls.
--- a/packages/pepperstair-core/pepperstair_core/shared_reading.py
+++ b/packages/pepperstair-core/pepperstair_core/shared_reading.py
@@ -22,9 +22,9 @@
 
 # Number of daemons that watch the table continuously.
 N_WATCHERS: Final = 2
-# Age of the last confirmation at which the first watcher ends its watch, as a share of
-# `bound_ms`. All other daemons rely on the confirmation that the answer to this watch
-# contains.
+# Age of the last confirmation, as a share of `bound_ms`, at which the first watcher's
+# watch ends and is answered. The answer contains a new confirmation, on which all other
+# daemons rely.
 FIRST_WATCH_SHARE: Final = 0.45
 # Maximum duration of a watch of the watchers other than the first one. They deliver a
 # version if the watch of the first watcher hangs.
@@ -48,8 +48,8 @@
 # Time after a failed read during which a daemon is not a watcher and leaves the
 # watching to others.
 READ_FAILURE_HOLDOFF_MS: Final = 5_000.0
-# Minimum difference, as a share of `max_age_ms`, by which a confirmation must be newer
-# than the last one to be forwarded.
+# A confirmation is forwarded only if it is newer than the previous confirmation by more
+# than this share of `max_age_ms`.
 FORWARD_SHARE: Final = 0.25
 # While the table is unavailable, `N_FAST_RETRIERS` daemons retry at the usual interval.
 # All other daemons retry at an interval longer by `SLOW_RETRY_FACTOR`, because the fast
--- a/packages/pepperstair-core/pepperstair_core/wire/control.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/control.py
@@ -152,7 +152,7 @@
 
 
 class PollerSign(Frame, tag=19):
-    """Beacon by which a poller shows its zone that it is alive.
+    """Beacon by which a poller notifies the daemons in its zone that it is alive.
 
     `is_platform_reachable` states whether the platform answered the last poll. `number`
     distinguishes the beacons of one poller, so that each is forwarded once.
--- a/packages/pepperstair-peers/pepperstair_peers/data/link.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/link.py
@@ -269,7 +269,10 @@
         }
 
     def _on_stream_lost(self, stream: FrameStream) -> None:
-        """Start recovery, and fail idempotent calls that cannot be resent."""
+        """Start recovery, and fail idempotent calls that cannot be resent.
+
+        Recovery resends idempotent calls and queries the outcome of the other calls.
+        """
         if stream is not self._stream:
             return
         self._stream = None
--- a/packages/pepperstaird/pepperstaird/crash_reports.py
+++ b/packages/pepperstaird/pepperstaird/crash_reports.py
@@ -20,9 +20,9 @@
 log = structlog.get_logger(__name__)
 
 _N_RECORDS_PER_FRAME_MAX: Final = 64
-# Time during which crash records are collected to be sent together. After a crash, each
-# other request that was running yields one more record when it is answered, because the
-# answer clears the request of suspicion.
+# Time during which crash records are collected to be sent together. After a crash,
+# every other request that was running yields one more record when it is answered,
+# because the answer clears the request of suspicion.
 _BATCH_DELAY_S: Final = 0.05
 
 
@@ -51,8 +51,9 @@
         self._decisions = decisions
         self._now_ms = now_ms
         self._crash_numbers = itertools.count(1)
-        # Maps the fingerprint of each record to be sent to the neighbour that it came
-        # from; empty if it came from this daemon or from several neighbours.
+        # The records that wait to be sent: maps the fingerprint of each to the
+        # neighbour from which it was received, or to an empty string if it comes from
+        # this daemon or from several neighbours.
         self._pending: dict[bytes, str] = {}
         self._timer: asyncio.TimerHandle | None = None
 
