--- a/packages/pepperstair-core/pepperstair_core/calls/admission.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/admission.py
@@ -19,22 +19,23 @@
 
 RETRY_AFTER_MIN_MS: Final = 10
 RETRY_AFTER_MAX_MS: Final = 5_000
-# Ageing: one in `AGED_GRANT_INTERVAL` grants goes to a less urgent call that has waited
-# for `AGED_AFTER_MS` or longer. The share of such grants is bounded because under
-# overload every deferrable call is old, and running all of them first would invert
-# priorities.
+# Ageing: one in `AGED_GRANT_INTERVAL` grants goes to a call that has waited for
+# `AGED_AFTER_MS` or longer, ahead of more urgent calls. The share of such grants is
+# bounded because under overload every deferrable call is old, and running all of them
+# first would invert priorities.
 AGED_GRANT_INTERVAL: Final = 10
 AGED_AFTER_MS: Final = 500.0
-# Maximum time that a late call is queued, as a share of the time between its arrival
-# and its deadline. A call is late if its answer can no longer arrive within the wanted
-# time; late calls are queued behind all others. An early refusal leaves their callers
-# time to try another target; without a refusal, callers retry after a third of their
+# Maximum time that a late call is queued if it may not wait until its deadline, as a
+# share of the time between its arrival and its deadline. A call is late if its answer
+# can no longer arrive within the wanted time; late calls are queued behind their
+# customer's other calls. An early refusal leaves the caller time to try another target.
+# The share is a third because a caller that is not refused retries after a third of its
 # time.
 LATE_WAIT_SHARE: Final = 1 / 3
 # Time without a refused call after which an overload is considered to be over.
 OVERLOAD_GAP_MS: Final = 1_000.0
-# Time after the arrival of a call for which calls of its priority are considered to be
-# still arriving.
+# Calls of a priority are considered to be still arriving for this time after the
+# arrival of the last one.
 LESS_URGENT_RECENT_MS: Final = 1_000.0
 
 
--- a/packages/pepperstair-core/pepperstair_core/calls/choice.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/choice.py
@@ -27,33 +27,36 @@
 # This time is shorter than `AVOIDED_MS` because each answer updates the reported load
 # of such a target.
 FULL_AVOIDED_MS: Final = 50
-# A call crosses zones only if the expected wait in the other zone is shorter than in
-# this zone by more than `ZONE_MARGIN` plus the transfer cost of the answer, which is
-# `ZONE_MARGIN_PER_BYTE` for each byte. Waits, margin and cost are in units of the
-# answer time of the fastest target; a transfer of 100 KB between zones costs one unit.
+# While this zone has usable targets, a call crosses zones only if the other zone
+# shortens its expected wait by more than `ZONE_MARGIN` plus the transfer cost of the
+# answer, which is `ZONE_MARGIN_PER_BYTE` for each byte. Waits, margin and cost are in
+# units of the answer time of the fastest target; a transfer of 100 KB between zones
+# costs one unit.
 ZONE_MARGIN: Final = 0.25
 ZONE_MARGIN_PER_BYTE: Final = 1e-5
 # Maximum expected wait at which a target is considered to have a free slot, so that a
 # call need not queue. The unit is the answer time of the fastest target.
 FREE_SLOT_WAIT_MAX: Final = 1.0
-# Margin for a call if neither a target of this daemon's zone nor a target of another
-# zone has a free slot: the call crosses zones only if the load per slot of the near
-# target exceeds the load per slot of the far target by more than this.
+# If no target has a free slot in this daemon's zone or in another, a call crosses zones
+# only if the load per slot of the near target exceeds the load per slot of the far
+# target by more than this margin.
 FULL_ZONE_MARGIN: Final = 1.0
-# Maximum share of a route's latency objective that the mean latency of a target may
-# take if the target is to be quick enough for the route. The remainder is a margin for
-# answers that take longer than the mean.
+# A target is quick enough for a route if its mean latency is at most this share of the
+# route's latency objective. The remainder is a margin for answers that take longer than
+# the mean.
 QUICK_SHARE: Final = 0.6
 # Weight of the age of an unanswered call in the latency of its target if the call may
-# be queued there: a queued call's age says little about the target's speed.
+# be queued there. It is low because a queued call's age says little about the target's
+# speed.
 QUEUED_AGE_WEIGHT: Final = 0.25
 EVICTED_AFTER_MS: Final = 60_000
 N_TRACKED_MAX: Final = 2_000
-# Time after which a daemon that has started is expected to know all targets: targets
-# are announced every 1.5 s, and one or two other daemons relay each announcement.
+# Time after which a daemon that has started is expected to know all targets. It is
+# sufficient because targets are announced every 1.5 s, and one or two other daemons
+# relay each announcement.
 JOINING_MS: Final = 5_000
-# Maximum number of cached target groups. Each of dozens of services has a group, which
-# is replaced by a new one whenever members change.
+# Maximum number of cached target groups. There are dozens of services, and each has a
+# group that is replaced by a new one whenever the service's endpoints change.
 N_GROUPS_MAX: Final = 64
 
 
--- a/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/expected_wait.py
@@ -20,11 +20,11 @@
 # its value or more.
 TOLERATED_FAILURE_FACTOR: Final = 1.5
 TOLERATED_FAILURE_RATE: Final = 0.05
-# By how much failures above the tolerated rate lengthen the expected wait: the excess
-# rate times `FAILURE_FACTOR` multiplies the wait, and the excess rate times
-# `FAILURE_WAIT` is added. A target whose failure rate exceeds the tolerated rate by a
-# tenth of its calls is used like a target that has half the speed and half of its slots
-# occupied.
+# By how much failures above the tolerated rate lengthen the expected wait: the wait is
+# multiplied by 1 plus `FAILURE_FACTOR` times the excess rate, and `FAILURE_WAIT` times
+# the excess rate is added. A target whose failure rate exceeds the tolerated rate by a
+# tenth of its calls is used like a target that has about half the speed and about half
+# of its slots occupied.
 FAILURE_FACTOR: Final = 8.0
 FAILURE_WAIT: Final = 4.0
 
--- a/packages/pepperstair-core/pepperstair_core/calls/fleet_budget.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/fleet_budget.py
@@ -13,8 +13,8 @@
 # know what its predecessor has used.
 USED_SHARE: Final = 0.75
 # Share of a daemon's part of the retry budget that calls of each priority may use. The
-# remainder is reserved for more urgent calls; without the reserve, a burst of refused
-# less urgent calls would use up the budget.
+# remainder is reserved for more urgent calls; without the reserve, retries after a
+# burst of refusals of less urgent calls would use up the budget.
 SHARE_OF_PRIORITY: Final = {"urgent": 1.0, "normal": 0.9, "deferrable": 0.7}
 _N_BUCKETS: Final = 20
 
--- a/packages/pepperstair-core/pepperstair_core/calls/pacing.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/pacing.py
@@ -16,9 +16,9 @@
 # Maximum share of the link's rate that large answers may use. The remainder is for all
 # other traffic, such as small answers, requests and the overhead of the streams.
 _LARGE_ANSWER_SHARE: Final = 0.85
-# Transfer time on the link of one part of a large answer. A small answer waits for one
-# or two parts, which is acceptable for look-ups of 40 ms. Each part wakes up both
-# daemons, so shorter parts would use more processor time.
+# Time that the link takes to transfer one part of a large answer. A small answer waits
+# for one or two parts, which is acceptable for look-ups of 40 ms. Each part wakes up
+# both daemons, so shorter parts would use more processor time.
 _PART_MS: Final = 30.0
 _PART_MIN_BYTES: Final = 4_096
 # A link that transfers a part of the maximum size within this time needs no pacing: a
--- a/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/quarantine.py
@@ -16,9 +16,9 @@
 from ..array_record import ArrayRecord
 from ..errors import ErrorKind, Failure, RunStatus
 
-# Crashes after which a request is quarantined from every target.
+# Number of crashes after which a request is quarantined from every target.
 N_CRASHES_MAX: Final = 3
-# Number of crashes from which on a request does not run concurrently with other
+# Number of crashes after which a request no longer runs concurrently with other
 # suspects on a target, so that the next crash identifies the request that caused it.
 N_CRASHES_ISOLATED: Final = 2
 # Duration of the first quarantine of a request. Each further crash doubles it.
--- a/packages/pepperstair-core/pepperstair_core/calls/route_statistics.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/route_statistics.py
@@ -12,16 +12,16 @@
 # Maximum change of a route's median timeout with each request, as a share of the
 # median.
 MEDIAN_STEP: Final = 0.02
-# Minimum share of the route's median timeout at which a request counts as a caller's
-# first attempt. With a shorter timeout, the caller either has already waited for the
-# difference to the median or is of another kind; in both cases its request is served
-# after others.
+# A request counts as a caller's first attempt if its timeout is at least this share of
+# the route's median timeout. With a shorter timeout, the caller either has already
+# waited for the difference to the median or is of another kind; in both cases its
+# request is served after others.
 REPEATED_TIMEOUT_SHARE: Final = 0.85
 # Weight of the newest call in the acceptance rate, which covers about thirty calls.
 ACCEPTED_WEIGHT: Final = 0.03
-# Minimum retry-after time of a call that a target with free slots has refused: about
-# the back-off between attempts within the mesh, so that the answer to the retry can
-# still be in time.
+# Minimum retry-after time of a call that a target with free slots has refused. It is
+# about the back-off between attempts within the mesh, so that the answer to the retry
+# can still be in time.
 RETRY_AFTER_MIN_MS: Final = 50.0
 RETRY_AFTER_MAX_MS: Final = 1_000
 
--- a/packages/pepperstair-core/pepperstair_core/calls/service_times.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/service_times.py
@@ -99,8 +99,8 @@
         known = self._mean_ms_by_route
         if len(known) >= N_ROUTES_MAX and route not in known:
             # Each version of the intent may replace routes, so entries of removed
-            # routes accumulate. The means of the current routes are soon measured
-            # again.
+            # routes accumulate. All entries can be dropped because the means of the
+            # current routes are soon measured again.
             known.clear()
             self._deviation_ms_by_route.clear()
         mean_ms = known.get(route, service_ms)
--- a/packages/pepperstair-core/pepperstair_core/calls/target_group.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_group.py
@@ -20,8 +20,8 @@
 TargetKey = tuple[str, str]
 Candidates = tuple[Sequence["Endpoint"], Sequence["Endpoint"]]
 
-# How long statistics are cached. The values of a target decay with a half-life of 5 s,
-# so that cached statistics are off by at most 4%.
+# How long statistics are cached. Cached statistics are off by at most 4%, because the
+# values of a target decay with a half-life of 5 s.
 _STATISTICS_TTL_MS: Final = 250.0
 
 
--- a/packages/pepperstair-core/pepperstair_core/calls/target_health.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/target_health.py
@@ -192,7 +192,7 @@
         self.n_ejections += 1
         self.is_ejected = True
         self.is_probed = False
-        # The ejection accounts for the failures recorded so far, so counting starts
+        # The failures recorded so far have led to this ejection and must not count
         # again after it.
         self._failure_rate = 0.0
         self._n_failures = 0
--- a/packages/pepperstair-core/pepperstair_core/distribution/applying.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/applying.py
@@ -88,7 +88,8 @@
     applied = apply_delta(base, delta)
     if applied.is_err():
         # The base differs from the sender's, or the delta is corrupt. Without the
-        # digest check the daemon would serve a document that nobody accepted.
+        # digest check in `apply_delta` the daemon would serve a document that nobody
+        # accepted.
         cause = "; ".join(map(str, applied.unwrap_err()))
         state.counters.n_deltas_refused += 1
         customer.received_version = customer.held_version
--- a/packages/pepperstair-core/pepperstair_core/distribution/pulling.py
+++ b/packages/pepperstair-core/pepperstair_core/distribution/pulling.py
@@ -118,7 +118,7 @@
     pull.due_ms = now_ms + int(wait_ms * state.rng.uniform(1.0, 2.0))
     if pull.n_rounds < _N_BUSY_ROUNDS_MAX:
         # Busy neighbours can deliver later, so they are asked again. An immediate
-        # fallback would make all waiting daemons read from the object store.
+        # fallback to the object store would make all waiting daemons read from it.
         pull.requested_vms.clear()
         pull.n_rounds += 1
 
--- a/packages/pepperstair-core/pepperstair_core/shared_reading.py
+++ b/packages/pepperstair-core/pepperstair_core/shared_reading.py
@@ -35,8 +35,8 @@
 FIRST_READ_SHARE: Final = 0.6
 LAST_READ_SHARE: Final = 0.7
 LAST_READ_SPREAD_SHARE: Final = 0.1
-# Delay between the reads of daemons with consecutive ranks: about the time that a read
-# and the propagation of its result through the fleet take.
+# Delay between the reads of daemons with consecutive ranks. It is about the time that a
+# read and the propagation of its result through the fleet take.
 READER_STEP_MS: Final = 100.0
 # Delay before the first read of a starting daemon, which may receive a neighbour's copy
 # during the delay. The random part lets one of the daemons that start together read
@@ -52,7 +52,7 @@
 # than this share of `max_age_ms`.
 FORWARD_SHARE: Final = 0.25
 # While the table is unavailable, `N_FAST_RETRIERS` daemons retry at the usual interval.
-# All other daemons retry at an interval longer by `SLOW_RETRY_FACTOR`, because the fast
+# All other daemons retry at `SLOW_RETRY_FACTOR` times this interval, because the fast
 # retriers notify them once the table is available again.
 N_FAST_RETRIERS: Final = 8
 SLOW_RETRY_FACTOR: Final = 3.0
--- a/packages/pepperstair-core/pepperstair_core/wire/codec.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/codec.py
@@ -44,7 +44,7 @@
         self._frame_max_bytes = frame_max_bytes
         self._decode = _frame_decoder().decode
         self._buffer = bytearray()
-        # Offset of the start of the buffer in the stream.
+        # Offset in the stream at which the buffer starts.
         self._n_decoded_bytes = 0
 
     def feed(self, data: bytes) -> Iterator[Any]:
--- a/packages/pepperstair-core/pepperstair_core/wire/compression.py
+++ b/packages/pepperstair-core/pepperstair_core/wire/compression.py
@@ -10,7 +10,7 @@
 import zlib
 from typing import Final
 
-# The fastest level: slower levels bring no gain on documents of routes.
+# The fastest level, because slower levels compress documents of routes no better.
 _LEVEL: Final = 1
 DECOMPRESSED_MAX_BYTES: Final = 16 * 1024 * 1024
 
