--- a/packages/pepperstair-callers/pepperstair_callers/attempts.py
+++ b/packages/pepperstair-callers/pepperstair_callers/attempts.py
@@ -40,9 +40,10 @@
 
 log = structlog.get_logger(__name__)
 
-# Margin by which the timeout sent to the daemon on the target's VM is shorter than the
-# remaining time. With this margin, the exact answer of that daemon (not run, or
-# unknown) arrives before this daemon times out and can only report `unknown`.
+# The timeout sent to the daemon on the target's VM is the remaining time less a margin:
+# the smaller of `HOP_MARGIN_MS` and `HOP_MARGIN_SHARE` of the remaining time. With this
+# margin, the exact answer of that daemon (not run, or unknown) arrives before this
+# daemon times out and can only report `unknown`.
 HOP_MARGIN_MS: Final = 5
 HOP_MARGIN_SHARE: Final = 0.1
 
--- a/packages/pepperstair-callers/pepperstair_callers/relay.py
+++ b/packages/pepperstair-callers/pepperstair_callers/relay.py
@@ -27,8 +27,8 @@
 ERROR_HEADER: Final = b"pepperstair-error"
 RETRY_AFTER_MS_HEADER: Final = b"pepperstair-retry-after-ms"
 
-# Retry-after time sent to callers after a transient failure that states none, such as a
-# target that drains while another one starts.
+# Retry-after time sent to callers after a transient failure that states no such time,
+# for example if the only target is draining while another target starts.
 RETRY_AFTER_DEFAULT_MS: Final = 1_000
 
 _NOT_RUN_STATUSES: Final = frozenset({429, 503})
--- a/packages/pepperstair-http/pepperstair_http/body.py
+++ b/packages/pepperstair-http/pepperstair_http/body.py
@@ -11,7 +11,7 @@
 
 from .messages import Headers
 
-# A connection stops reading while more of a body than this is buffered.
+# A connection stops reading while more than this number of bytes of a body is buffered.
 HIGH_WATER_BYTES: Final = 262_144
 
 
--- a/packages/pepperstair-http/pepperstair_http/connection.py
+++ b/packages/pepperstair-http/pepperstair_http/connection.py
@@ -21,7 +21,8 @@
 
 log = structlog.get_logger(__name__)
 
-# Time for which incoming data is read and discarded before the connection closes.
+# Time for which incoming data is read and discarded before the connection closes, so
+# that the client can still read an error answer.
 _DISCARD_S: Final = 1.0
 
 
--- a/packages/pepperstair-peers/pepperstair_peers/control/plane.py
+++ b/packages/pepperstair-peers/pepperstair_peers/control/plane.py
@@ -46,8 +46,8 @@
 
 _FLUSH_DELAY_S: Final = 0.02
 _N_TICKS_PER_HEARTBEAT: Final = 4
-# Number of ticks per heartbeat while there is no neighbour: more than otherwise, so
-# that failed dials are retried sooner.
+# Number of ticks per heartbeat while there is no neighbour. It is higher than
+# `_N_TICKS_PER_HEARTBEAT`, so that failed dials are retried sooner.
 _N_TICKS_WITHOUT_NEIGHBOUR: Final = 20
 _MEMBER_FRAMES: Final = (
     Heartbeat,
@@ -189,8 +189,8 @@
     def _flush(self) -> None:
         self._flush_timer = None
         actions = list(self._membership.flush(self.is_writable, self._clock_ms()))
-        # If there are no actions, the neighbours are slow, so no further flush is
-        # scheduled here: the next tick flushes again.
+        # If there are no actions although a flush is due, the neighbours are slow. No
+        # further flush is then scheduled here; the next tick flushes again.
         self._execute(actions, is_flush_wanted=bool(actions))
 
     def _execute(self, actions: Iterable[Action], is_flush_wanted: bool = True) -> None:
--- a/packages/pepperstair-peers/pepperstair_peers/data/server.py
+++ b/packages/pepperstair-peers/pepperstair_peers/data/server.py
@@ -206,7 +206,7 @@
         """Record the answer of a finished call, and send it if it was queried."""
         call_id = call.head.call_id
         incoming.calls.pop(call_id, None)
-        # A resent idempotent call may already have replaced this entry.
+        # A resent idempotent call may already have replaced the entry of this call.
         if self._running.get(call.key) is call:
             del self._running[call.key]
         if not call.is_recorded:
--- a/packages/pepperstair-platform/pepperstair_platform/acceptance.py
+++ b/packages/pepperstair-platform/pepperstair_platform/acceptance.py
@@ -123,7 +123,7 @@
         head.digest, attempt.snapshot.body, head.customer
     )
     if stored.is_err():
-        # An object without a head has no effect, so this attempt accepted nothing.
+        # An object has no effect until a head refers to it, so nothing was accepted.
         return Err(_failure_before_commit(attempt.request, stored.unwrap_err()))
     compare = (
         Compare(head_key(head.customer), _value_of(attempt.head)),
--- a/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
+++ b/packages/pepperstair-targets/pepperstair_targets/ordered_announcements.py
@@ -22,8 +22,8 @@
 # Maximum delay of an announcement in transit. The platform states that announcements
 # may be delayed by seconds.
 ANNOUNCEMENT_DELAY_MAX_MS: Final = 30_000
-# Sequence number of the departure of a deregistered target: every announcement from the
-# same start of the target precedes it and is ignored.
+# Sequence number of the departure of a deregistered target. All announcements from the
+# same start of the target have lower sequence numbers and are therefore ignored.
 LAST_SEQUENCE: Final = 2**63 - 1
 
 
--- a/packages/pepperstair-targets/pepperstair_targets/pool.py
+++ b/packages/pepperstair-targets/pepperstair_targets/pool.py
@@ -21,15 +21,15 @@
 # target and is still short compared to the deadline of a call.
 UNACKNOWLEDGED_MS: Final = 500
 # Timeout of a probe connection. A target on the same VM refuses a connection at once,
-# and the refusal is noticed in time even if this daemon's event loop is busy.
+# and this daemon notices the refusal within the timeout even if its event loop is busy.
 _PROBE_TIMEOUT_S: Final = 0.1
 # Maximum idle time of a connection that is reused for a non-idempotent call. If the
 # target were just closing the connection, the outcome of the call would be unknown.
 # Targets close connections after some seconds without use.
 FRESH_IDLE_MAX_S: Final = 1.0
-# Margin by which this daemon stops reusing a connection before the target's idle
-# timeout expires, because the idle timers of the target and of this daemon start at
-# different moments.
+# Time before the expiry of the target's idle timeout at which this daemon stops reusing
+# a connection. It is needed because the idle timers of the target and of this daemon
+# start at different moments.
 _CLOSE_MARGIN_S: Final = 1.0
 _IDLE_MAX_S: Final = 60.0
 
--- a/packages/pepperstair-targets/pepperstair_targets/target_call.py
+++ b/packages/pepperstair-targets/pepperstair_targets/target_call.py
@@ -29,10 +29,11 @@
 log = structlog.get_logger(__name__)
 
 _MISDIRECTED: Final = 421
-# A reused connection that its target had already closed fails within one round trip on
-# the same VM, some tenths of a millisecond; the limit allows for a busy event loop. If
-# it fails later, the target may have been running the request: with a limit of 20 ms,
-# requests that took a target 10 to 20 ms were still sent twice (tests/soak, seed 23).
+# Maximum time after which a reused connection fails if its target had closed it before
+# the request was sent: one round trip on the same VM, some tenths of a millisecond, and
+# a reserve for a busy event loop. If the connection fails later, the target may have
+# been running the request: with a limit of 20 ms, requests that took a target 10 to
+# 20 ms were still sent twice (tests/soak, seed 23).
 STALE_CONNECTION_MAX_MS: Final = 5
 
 
--- a/packages/pepperstaird/pepperstaird/crash_reports.py
+++ b/packages/pepperstaird/pepperstaird/crash_reports.py
@@ -20,9 +20,9 @@
 log = structlog.get_logger(__name__)
 
 _N_RECORDS_PER_FRAME_MAX: Final = 64
-# Time during which crash records are collected to be sent together. After a crash,
-# every other request that was running yields one more record when it is answered,
-# because the answer clears the request of suspicion.
+# Time during which crash records are collected to be sent together. A crash can make
+# all requests that were running suspect. When one of them is answered later, it is
+# cleared of suspicion, which yields one more record.
 _BATCH_DELAY_S: Final = 0.05
 
 
@@ -89,8 +89,8 @@
         for record in quarantined:
             self._report_quarantined(record.fingerprint)
         if not quarantined:
-            # During a partition, the records of daemons on its other side are
-            # available on the platform only.
+            # Records of other daemons may put a request into quarantine. During a
+            # partition, some of these records are available on the platform only.
             self._rows.read()
 
     def report_cleared(self, cleared: CrashRecord) -> None:
--- a/packages/pepperstaird/pepperstaird/early_listening.py
+++ b/packages/pepperstaird/pepperstaird/early_listening.py
@@ -41,7 +41,7 @@
         return None
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        # Connections of the previous process may still be closing.
+        # Otherwise `bind` fails while connections of the previous process are closing.
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind((host, int(port)))
         listener.listen(_BACKLOG)
--- a/packages/pepperstaird/pepperstaird/follower.py
+++ b/packages/pepperstaird/pepperstaird/follower.py
@@ -50,8 +50,8 @@
 # recovering store at once.
 _BACKOFF_MIN_S: Final = 0.1
 _BACKOFF_MAX_S: Final = 1.0
-# Minimum pause after each answer: of versions in quick succession only the newest
-# matters, and each read of each daemon adds load to the store.
+# Minimum pause after each answer. Only the newest of several versions in quick
+# succession matters, and each read by each daemon adds load to the store.
 _PAUSE_MIN_S: Final = 0.4
 # On a slow link the pause is `_PAUSE_TRANSFER_FACTOR` times the transfer time of the
 # answer, so that versions in quick succession leave two thirds of the link to calls.
