--- a/packages/pepperstair-core/pepperstair_core/calls/admission.py
+++ b/packages/pepperstair-core/pepperstair_core/calls/admission.py
@@ -29,8 +29,7 @@
 # share of the time between its arrival and its deadline. A call is late if its answer
 # can no longer arrive within the wanted time; late calls are queued behind their
 # customer's other calls. An early refusal leaves the caller time to try another target.
-# The share is a third because a caller that is not refused retries after a third of its
-# time.
+# Callers themselves wait up to a third of their time.
 LATE_WAIT_SHARE: Final = 1 / 3
 # Time without a refused call after which an overload is considered to be over.
 OVERLOAD_GAP_MS: Final = 1_000.0
